--- a/src/peers/engine_statement_codec.h
+++ b/src/peers/engine_statement_codec.h
@@ -1,5 +1,6 @@
 /// @file
-/// What engines state, as nodes tell it to each other: by ages, as clocks differ.
+/// Encodes what engines state about themselves for messages between nodes. Times are encoded as
+/// ages, because the clocks of nodes differ.
 #pragma once
 
 #include "gateway/stated_limits.h"
@@ -7,12 +8,12 @@
 
 namespace fernmoor::peers {
 
-/// @param now when the message is sent.
-void encodeStatement(const gateway::EngineStatement& told, Time now,
+/// @param now time at which the message is sent.
+void encodeStatement(const gateway::EngineStatement& statement, Time now,
                      proto::EngineStatement& message);
 
-/// Reads a message of another node. A rate that is no finite number of 0 or more counts as none.
-/// @param now when it came.
+/// Decodes a message of another node. A rate that is negative or not finite is ignored.
+/// @param now time at which the message was received.
 gateway::EngineStatement decodeStatement(const proto::EngineStatement& message, Time now);
 
 }  // namespace fernmoor::peers
--- a/src/peers/limit_directory.cpp
+++ b/src/peers/limit_directory.cpp
@@ -6,9 +6,9 @@
 
 namespace {
 
-/// The first answer may be to a question that did not know of this request; a second one is its
-/// own.
-constexpr int kMostQuestions = 2;
+/// The first answer may belong to a question that was sent before this request arrived; the second
+/// one takes this request into account.
+constexpr int kMaxQuestions = 2;
 
 }  // namespace
 
@@ -42,7 +42,7 @@
   }
   const RowKey& row = tenant.limits.row;
   Result<Done> result = role_.tryAcquireHeld(tenant.limits, cost, clock_.now());
-  for (int question = 0; !isOk(result) && question < kMostQuestions; ++question) {
+  for (int question = 0; !isOk(result) && question < kMaxQuestions; ++question) {
     if (!role_.askNow(row, cost, clock_.now(), sender_) || !awaitAnswer(row)) {
       result = role_.tryAcquire(tenant.limits, cost, clock_.now());
       break;
@@ -50,7 +50,7 @@
     result = role_.tryAcquireHeld(tenant.limits, cost, clock_.now());
   }
   if (isOk(result)) {
-    role_.release(row, clock_.now());  // Tenants have no bound on requests in flight.
+    role_.release(row, clock_.now());  // Tenants have no limit on requests in flight.
   }
   return result;
 }
--- a/src/peers/limit_directory.h
+++ b/src/peers/limit_directory.h
@@ -1,7 +1,8 @@
 /// @file
-/// Limits of tenants over all nodes on the request path: a request passes on this node's stock of
-/// its tenant's limit; where that is used up and the limit isn't known to be short, it waits some
-/// milliseconds for the owner of the limit (see admission/limit_role.h).
+/// Enforces rate limits of tenants across all nodes on the request path. A request is admitted from
+/// the share of its tenant's limit that this node holds. If that share is used up and the limit is
+/// not known to be exhausted, the request waits a few milliseconds for the owner of the limit (see
+/// admission/limit_role.h).
 #pragma once
 
 #include <condition_variable>
@@ -16,7 +17,7 @@
 
 namespace fernmoor::peers {
 
-/// The members as of the last snapshot that was set. Thread-safe.
+/// Membership view of the last snapshot that was set. Thread-safe.
 class SnapshotMembers : public MembershipView {
  public:
   explicit SnapshotMembers(NodeId self) { self_.life.node = self; }
@@ -33,7 +34,7 @@
 /// Thread-safe.
 class LimitDirectory : public Role, public gateway::TenantLimits {
  public:
-  /// @param sender outlives the directory; used on the threads that call acquire().
+  /// @param sender must outlive the directory; used on the threads that call acquire().
   LimitDirectory(NodeId self, const Clock& clock, MessageSender& sender, const Knobs& knobs = {});
 
   void setMembers(std::shared_ptr<const MembershipSnapshot> members);
@@ -45,13 +46,13 @@
                  MessageSender& sender) override;
   void onTick(Time now, MessageSender& sender) override;
 
-  /// @return limits whose owner gives this node less than it wants.
+  /// @return number of limits whose owner grants this node less than it asks for.
   size_t shortCount() const { return role_.shortCount(); }
-  /// @return part of the known nodes that this one can hear of.
+  /// @return fraction of the known nodes that this node can reach.
   double reachableShare() const { return role_.reachableShare(); }
 
  private:
-  /// @return false where no answer came in time.
+  /// @return false if no answer arrived in time.
   bool awaitAnswer(const RowKey& row);
 
   const Clock& clock_;
--- a/src/peers/load_directory.cpp
+++ b/src/peers/load_directory.cpp
@@ -20,22 +20,22 @@
 using gateway::PendingRequest;
 using gateway::PermitOffer;
 
-constexpr Duration kAlmostMillisecond{999};
+constexpr Duration kMillisecondRoundUp{999};
 
-uint32_t inMessage(uint64_t tokens) {
+uint32_t clampToUint32(uint64_t tokens) {
   return static_cast<uint32_t>(std::min<uint64_t>(tokens, std::numeric_limits<uint32_t>::max()));
 }
 
-proto::LoadRelease releaseOf(const LoadTicket& ticket) {
+proto::LoadRelease makeRelease(const LoadTicket& ticket) {
   proto::LoadRelease release;
   release.set_engine(ticket.engine);
   release.set_question_id(ticket.id);
   return release;
 }
 
-/// Of a request that was not sent.
-proto::LoadRelease unsentOf(const LoadTicket& ticket) {
-  proto::LoadRelease release = releaseOf(ticket);
+/// @return the release of a request that was not sent.
+proto::LoadRelease makeUnsentRelease(const LoadTicket& ticket) {
+  proto::LoadRelease release = makeRelease(ticket);
   release.set_permit_unused(ticket.hasPermit);
   return release;
 }
@@ -58,20 +58,20 @@
 
 NodeId LoadDirectory::ownerOf(uint64_t engine) const {
   const std::lock_guard<std::mutex> lock(mutex_);
-  return rendezvousKeeper(engine, self_, members_.get());
+  return rendezvousOwner(engine, self_, members_.get());
 }
 
-double LoadDirectory::rateHere(double statedRate) const {
+double LoadDirectory::localPermitRate(double statedRate) const {
   const std::lock_guard<std::mutex> lock(mutex_);
   return gateway::permittedRate(statedRate) * reachableShare_;
 }
 
-LoadAnswer LoadDirectory::reserveHere(uint64_t engine, const PendingRequest& request,
-                                      const EngineRoom& room, uint64_t bound, Time now) {
+LoadAnswer LoadDirectory::reserveLocally(uint64_t engine, const PendingRequest& request,
+                                         const EngineRoom& room, uint64_t bound, Time now) {
   PermitOffer permit;
   const std::optional<double> stated = limits_.rateOf(engine);
   if (stated) {
-    permit = permits_.take(engine, rateHere(*stated), request.demand.longestPermitWait, now);
+    permit = permits_.take(engine, localPermitRate(*stated), request.demand.longestPermitWait, now);
     if (!permit.isTaken) {
       LoadAnswer answer;
       answer.tokensPerSecond = 1.0;
@@ -96,19 +96,20 @@
   return answer;
 }
 
-proto::Envelope LoadDirectory::questionOf(uint32_t id, uint64_t engine, const EngineDemand& demand,
-                                          const EngineRoom& room, uint64_t bound) const {
+proto::Envelope LoadDirectory::makeQuestion(uint32_t id, uint64_t engine,
+                                            const EngineDemand& demand, const EngineRoom& room,
+                                            uint64_t bound) const {
   proto::Envelope envelope;
   proto::LoadQuestion& question = *envelope.mutable_load()->mutable_question();
   question.set_question_id(id);
   question.set_engine(engine);
-  question.set_tokens(inMessage(demand.promptTokens));
-  question.set_bound(inMessage(bound));
-  question.set_memory_tokens(inMessage(demand.memoryTokens));
+  question.set_tokens(clampToUint32(demand.promptTokens));
+  question.set_bound(clampToUint32(bound));
+  question.set_memory_tokens(clampToUint32(demand.memoryTokens));
   question.set_engine_places(room.places);
-  question.set_engine_memory_tokens(inMessage(room.memoryTokens));
-  question.set_forget_after_milliseconds(inMilliseconds(demand.forgetAfter));
-  question.set_longest_permit_wait_milliseconds(inMilliseconds(demand.longestPermitWait));
+  question.set_engine_memory_tokens(clampToUint32(room.memoryTokens));
+  question.set_forget_after_milliseconds(toMilliseconds(demand.forgetAfter));
+  question.set_longest_permit_wait_milliseconds(toMilliseconds(demand.longestPermitWait));
   question.set_only_permit(!demand.isCounted);
   const Time now = clock_.now();
   if (const EngineStatement known = statementOf(engine, now); !known.isEmpty()) {
@@ -131,9 +132,9 @@
   std::optional<LoadAnswer> answer;
   if (owner == self_) {
     const PendingRequest request{self_.value(), id, demand};
-    answer = reserveHere(engine, request, room, bound, clock_.now());
+    answer = reserveLocally(engine, request, room, bound, clock_.now());
   } else {
-    sender_.send(owner, questionOf(id, engine, demand, room, bound));
+    sender_.send(owner, makeQuestion(id, engine, demand, room, bound));
     std::unique_lock<std::mutex> lock(mutex_);
     answered_.wait_for(lock, kAnswerTimeout, [&] { return questions_.at(id).answer.has_value(); });
     answer = questions_.at(id).answer;
@@ -145,10 +146,10 @@
   return answer;
 }
 
-void LoadDirectory::tell(const proto::LoadRelease& release) {
+void LoadDirectory::sendRelease(const proto::LoadRelease& release) {
   const NodeId owner = ownerOf(release.engine());
   if (owner == self_) {
-    noteEnd(self_.value(), release, clock_.now());
+    applyRelease(self_.value(), release, clock_.now());
     return;
   }
   proto::Envelope envelope;
@@ -157,24 +158,24 @@
 }
 
 void LoadDirectory::promptRead(const LoadTicket& ticket) {
-  proto::LoadRelease release = releaseOf(ticket);
+  proto::LoadRelease release = makeRelease(ticket);
   release.set_still_runs(true);
-  tell(release);
+  sendRelease(release);
 }
 
 void LoadDirectory::release(const LoadTicket& ticket) {
   if (ticket.isCounted) {
-    tell(releaseOf(ticket));
+    sendRelease(makeRelease(ticket));
   }
 }
 
 void LoadDirectory::giveBack(const LoadTicket& ticket) {
   if (ticket.isCounted || ticket.hasPermit) {
-    tell(unsentOf(ticket));
+    sendRelease(makeUnsentRelease(ticket));
   }
 }
 
-void LoadDirectory::noteEnd(uint64_t asker, const proto::LoadRelease& release, Time now) {
+void LoadDirectory::applyRelease(uint64_t asker, const proto::LoadRelease& release, Time now) {
   if (release.permit_unused()) {
     permits_.giveBack(release.engine(), now);
   }
@@ -185,10 +186,10 @@
   }
 }
 
-void LoadDirectory::forgetFormerLife(NodeLife from) {
+void LoadDirectory::forgetPreviousIncarnation(NodeLife from) {
   {
     const std::lock_guard<std::mutex> lock(mutex_);
-    const auto known = askers_.try_emplace(from.node, from.incarnation);
+    const auto known = askerIncarnations_.try_emplace(from.node, from.incarnation);
     if (known.second || known.first->second == from.incarnation) {
       return;
     }
@@ -199,7 +200,7 @@
 
 void LoadDirectory::onQuestion(NodeLife from, const proto::LoadQuestion& question, Time now,
                                MessageSender& sender) {
-  forgetFormerLife(from);
+  forgetPreviousIncarnation(from);
   EngineDemand demand;
   demand.promptTokens = question.tokens();
   demand.memoryTokens = question.memory_tokens();
@@ -207,23 +208,24 @@
   demand.longestPermitWait = std::chrono::milliseconds(question.longest_permit_wait_milliseconds());
   demand.isCounted = !question.only_permit();
   if (question.has_statement() &&
-      takeStatement(decodeStatement(question.statement(), now), from.node, now)) {
+      applyStatement(decodeStatement(question.statement(), now), from.node, now)) {
     announce(question.engine(), now);
   }
   const EngineRoom room{question.engine_places(), question.engine_memory_tokens()};
   const PendingRequest request{from.node.value(), question.question_id(), demand};
-  const LoadAnswer counted = reserveHere(question.engine(), request, room, question.bound(), now);
+  const LoadAnswer reserved =
+      reserveLocally(question.engine(), request, room, question.bound(), now);
   proto::Envelope envelope;
   proto::LoadAnswer& answer = *envelope.mutable_load()->mutable_answer();
   answer.set_question_id(question.question_id());
   answer.set_engine(question.engine());
-  answer.set_granted(counted.isGranted);
-  answer.set_pending_tokens(inMessage(counted.pendingTokens));
-  answer.set_tokens_per_second(inMessage(static_cast<uint64_t>(counted.tokensPerSecond)));
-  answer.set_stalled(counted.isStalled);
-  answer.set_lacks_permit(counted.lacksPermit);
-  // Rounded up: what is sent or asked for sooner would be too soon.
-  answer.set_permit_wait_milliseconds(inMilliseconds(counted.permitWait + kAlmostMillisecond));
+  answer.set_granted(reserved.isGranted);
+  answer.set_pending_tokens(clampToUint32(reserved.pendingTokens));
+  answer.set_tokens_per_second(clampToUint32(static_cast<uint64_t>(reserved.tokensPerSecond)));
+  answer.set_stalled(reserved.isStalled);
+  answer.set_lacks_permit(reserved.lacksPermit);
+  // Rounded up, so that the request is neither sent nor asked for again before its permit is due.
+  answer.set_permit_wait_milliseconds(toMilliseconds(reserved.permitWait + kMillisecondRoundUp));
   if (const EngineStatement known = statementOf(question.engine(), now); !known.isEmpty()) {
     encodeStatement(known, now, *answer.mutable_statement());
   }
@@ -232,33 +234,34 @@
 
 void LoadDirectory::onAnswer(NodeLife from, const proto::LoadAnswer& answer,
                              MessageSender& sender) {
-  LoadAnswer taken;
-  taken.isGranted = answer.granted();
-  taken.pendingTokens = answer.pending_tokens();
-  taken.tokensPerSecond = std::max(1U, answer.tokens_per_second());
-  taken.isStalled = answer.stalled();
-  taken.lacksPermit = answer.lacks_permit();
-  taken.permitWait = std::chrono::milliseconds(answer.permit_wait_milliseconds());
+  LoadAnswer received;
+  received.isGranted = answer.granted();
+  received.pendingTokens = answer.pending_tokens();
+  received.tokensPerSecond = std::max(1U, answer.tokens_per_second());
+  received.isStalled = answer.stalled();
+  received.lacksPermit = answer.lacks_permit();
+  received.permitWait = std::chrono::milliseconds(answer.permit_wait_milliseconds());
   const bool isLimited = answer.statement().is_limited();
-  taken.ticket =
+  received.ticket =
       LoadTicket{answer.engine(), answer.question_id(), true, answer.granted() && isLimited};
   if (answer.has_statement()) {
     const Time now = clock_.now();
-    takeStatement(decodeStatement(answer.statement(), now), from.node, now);
+    applyStatement(decodeStatement(answer.statement(), now), from.node, now);
   }
   {
     const std::lock_guard<std::mutex> lock(mutex_);
     const auto question = questions_.find(answer.question_id());
     if (question != questions_.end()) {
-      taken.ticket.isCounted = question->second.isCounted;
-      question->second.answer = taken;
+      received.ticket.isCounted = question->second.isCounted;
+      question->second.answer = received;
       answered_.notify_all();
       return;
     }
   }
-  if (answer.granted()) {  // Nobody waits any more, so nobody would release it.
+  if (answer
+          .granted()) {  // The request no longer waits for this answer and would never release it.
     proto::Envelope envelope;
-    *envelope.mutable_load()->mutable_release() = unsentOf(taken.ticket);
+    *envelope.mutable_load()->mutable_release() = makeUnsentRelease(received.ticket);
     sender.send(from.node, envelope);
   }
 }
@@ -271,7 +274,7 @@
   } else if (message.has_answer()) {
     onAnswer(from, message.answer(), sender);
   } else if (message.has_release()) {
-    noteEnd(from.node.value(), message.release(), now);
+    applyRelease(from.node.value(), message.release(), now);
   } else if (message.has_statements()) {
     onStatements(from, message.statements(), now);
   }
--- a/src/peers/load_directory.h
+++ b/src/peers/load_directory.h
@@ -1,18 +1,20 @@
 /// @file
-/// What waits and runs at engines, of all nodes: each engine has one node that counts for it, found
-/// by rendezvous hashing over the living nodes. A request asks that node before it is sent, which
-/// counts it, and tells it when its prompt was read and when it ended: four short messages a
-/// request in the usual case, however many nodes there are. An answer that does not come costs a
-/// few milliseconds and the knowledge.
+/// Distributed accounting of the requests that wait and run at engines, over all nodes. Each engine
+/// has one owner node, chosen by rendezvous hashing over the live nodes. Before a request is sent
+/// to an engine, its node reserves load at the owner; it notifies the owner when the prompt was
+/// read and when the request ended. This takes four short messages per request in the usual case,
+/// whatever the number of nodes. If the answer is missing, the request loses a few milliseconds and
+/// is placed without knowing the engine's load.
 ///
-/// The same node gives the permits of an engine that states a limit (see gateway/engine_permits.h),
-/// with the answer to the same question.
+/// The owner also grants the permits of an engine that states a rate limit (see
+/// gateway/engine_permits.h), in the answer to the same question.
 ///
-/// What an engine states in its answers, a limit, that it leaves, or that it wants rest, concerns
-/// all nodes: who is told it tells the node that counts for the engine, which tells all others,
-/// both again and again while it holds. Questions and answers carry it too, and nodes that have
-/// just begun are told it, so that whoever counts for an engine next knows it. Limits are kept
-/// here, with their permits; leaving and rest by the set of back ends, where choices look.
+/// Statements that an engine makes in its responses (a rate limit, that it is leaving, or a pause
+/// that it asks for) concern all nodes. The node that receives one forwards it to the owner of the
+/// engine, and the owner broadcasts it; both repeat this while the statement is in force. Questions
+/// and answers carry statements too, and new members are sent all of them, so that the next owner
+/// of an engine knows its statements. Limits are stored here with their permits; leaving and pauses
+/// are stored in BackendSet, where the choice of an engine reads them.
 #pragma once
 
 #include <condition_variable>
@@ -34,22 +36,24 @@
 
 namespace fernmoor::peers {
 
-/// Lines on what engines state, change and end, and on the permits that a node gave.
+/// Budgets of the log lines on engine statements that change or end, and on the permits granted.
 inline constexpr LogBudgetBounds kChangeLines{5, 40};
 inline constexpr LogBudgetBounds kPermitLines{2, 20};
 
 /// Thread-safe.
 class LoadDirectory : public Role, public gateway::EngineLoads {
  public:
-  /// @param sender outlives the directory; used on the threads that call reserve() and release().
-  /// @param engines that are listed, told what they state; outlives the directory. Null: none is
-  ///        named, none is taken for gone, and only limits are kept.
+  /// @param sender must outlive the directory; used on the threads that call reserve() and
+  ///        release().
+  /// @param engines the listed engines, updated with their statements; must outlive the directory.
+  ///        May be null: engines then have no names in the log, limits are never forgotten because
+  ///        an engine is no longer listed, and only limits are stored.
   LoadDirectory(NodeId self, const Clock& clock, MessageSender& sender,
                 BackendSet* engines = nullptr);
 
   void setMembers(std::shared_ptr<const MembershipSnapshot> members);
-  /// Sets the part of the known nodes that this one can hear of: the two sides of a cut together
-  /// keep the limits that engines state.
+  /// Sets the fraction of the known nodes that this node can reach. Stated limits are scaled by it,
+  /// so that both sides of a network partition together stay within them.
   void setReachableShare(double share);
 
   std::optional<gateway::LoadAnswer> reserve(uint64_t engine, const gateway::EngineDemand& demand,
@@ -58,7 +62,7 @@
   void promptRead(const gateway::LoadTicket& ticket) override;
   void release(const gateway::LoadTicket& ticket) override;
   void giveBack(const gateway::LoadTicket& ticket) override;
-  void noteStatement(const gateway::EngineStatement& told) override;
+  void noteStatement(const gateway::EngineStatement& statement) override;
   std::optional<Duration> permitDue(uint64_t engine) const override;
   bool mayGoUnasked(uint64_t engine) override;
 
@@ -66,76 +70,79 @@
                  MessageSender& sender) override;
   void onTick(Time now, MessageSender& sender) override;
 
-  /// @return engines that this node counts for now.
+  /// @return number of engines whose load this node accounts for now.
   size_t engineCount() const { return work_.size(); }
-  /// @return engines that state a limit, as far as this node knows.
+  /// @return number of engines known to state a limit.
   size_t limitedCount() const { return limits_.count(); }
 
  private:
-  /// When a statement is told again.
+  /// Repetition schedule of a statement.
   struct Announcement {
-    Time toldAt;
-    Duration pause{0};  ///< Until the next time; grows.
+    Time lastSentAt;
+    Duration interval{0};  ///< Until the next repetition; grows.
   };
-  /// A question that waits for its answer.
+  /// A question that is not answered yet.
   struct Question {
     bool isCounted = true;
     std::optional<gateway::LoadAnswer> answer;
   };
 
-  /// The engines that state something, by who counts for them: looked up anew only where the
-  /// members or the engines changed, as each look goes over all members.
+  /// Owners of the engines that have statements in force. Recomputed only if the members or the
+  /// engines changed, because each lookup iterates over all members.
   struct Owners {
     std::shared_ptr<const MembershipSnapshot> members;
     std::vector<uint64_t> engines;
-    std::map<uint64_t, NodeId> of;  ///< By engine.
+    std::map<uint64_t, NodeId> byEngine;  ///< By engine.
   };
 
   NodeId ownerOf(uint64_t engine) const;
   bool isOwner(uint64_t engine) const { return ownerOf(engine) == self_; }
-  /// @return the id of a listed engine; empty: it isn't listed.
-  std::string nameOf(uint64_t engine) const;
-  /// Counts a request at an engine that this node counts for, and gives its permit.
-  gateway::LoadAnswer reserveHere(uint64_t engine, const gateway::PendingRequest& request,
-                                  const gateway::EngineRoom& room, uint64_t bound, Time now);
-  proto::Envelope questionOf(uint32_t id, uint64_t engine, const gateway::EngineDemand& demand,
-                             const gateway::EngineRoom& room, uint64_t bound) const;
-  /// @return requests a second that this node permits under a stated limit.
-  double rateHere(double statedRate) const;
-  /// @return all that this node knows that the engine states.
+  /// @return the id of a listed engine; empty if it isn't listed.
+  std::string engineName(uint64_t engine) const;
+  /// Reserves load for a request at an engine that this node owns, and grants its permit.
+  gateway::LoadAnswer reserveLocally(uint64_t engine, const gateway::PendingRequest& request,
+                                     const gateway::EngineRoom& room, uint64_t bound, Time now);
+  proto::Envelope makeQuestion(uint32_t id, uint64_t engine, const gateway::EngineDemand& demand,
+                               const gateway::EngineRoom& room, uint64_t bound) const;
+  /// @return requests per second that this node permits under a stated limit.
+  double localPermitRate(double statedRate) const;
+  /// @return all statements of the engine that this node knows.
   gateway::EngineStatement statementOf(uint64_t engine, Time now) const;
-  /// @return engines that state anything.
+  /// @return engines with any statement in force.
   std::vector<uint64_t> statedEngines(Time now) const;
-  /// Takes a statement that this node or another one was told.
-  /// @param from another node; nothing: this one was told by the engine.
-  /// @return whether it changed what was known.
-  bool takeStatement(const gateway::EngineStatement& told, std::optional<NodeId> from, Time now);
-  bool takeLimit(const gateway::EngineStatement& told, std::optional<NodeId> from, Time now);
-  bool takeLeaving(const gateway::EngineStatement& told, std::optional<NodeId> from, Time now);
-  bool takeRest(const gateway::EngineStatement& told, std::optional<NodeId> from, Time now);
-  /// Tells all nodes where this one counts for the engine, else the one that does; now and then
-  /// again and again.
+  /// Applies a statement that this node or another one received from an engine.
+  /// @param from the node that forwarded it; nothing if this node received it from the engine.
+  /// @return whether it changed what this node knows.
+  bool applyStatement(const gateway::EngineStatement& statement, std::optional<NodeId> from,
+                      Time now);
+  bool applyLimit(const gateway::EngineStatement& statement, std::optional<NodeId> from, Time now);
+  bool applyLeaving(const gateway::EngineStatement& statement, std::optional<NodeId> from,
+                    Time now);
+  bool applyRest(const gateway::EngineStatement& statement, std::optional<NodeId> from, Time now);
+  /// Sends the statements of the engine to all nodes if this node owns it, otherwise to its owner,
+  /// and schedules the repetitions.
   void announce(uint64_t engine, Time now);
   void sendStatements(const std::vector<uint64_t>& engines, const std::vector<NodeId>& to,
                       Time now);
-  /// Used on the thread that ticks.
+  /// Call on the thread that runs onTick().
   const Owners& owners(Time now);
-  /// Tells the statements that are due again, and nodes that have just come what they have to know.
+  /// Repeats the statements that are due, and sends new members the statements that they need.
   void announceDue(Time now);
-  /// Tells a node that has just come all that engines state for which this one counts, and what
-  /// others state for which that one counts from now on.
-  void tellNewcomer(NodeId node, const Owners& known, Time now);
-  /// @return nodes that were not told of since they began.
-  std::vector<NodeId> newcomers();
-  /// Writes what changed about an engine, within a budget.
+  /// Sends a new member the statements of all engines that this node owns, and of those that the
+  /// new member owns from now on.
+  void sendStatementsTo(NodeId node, const Owners& known, Time now);
+  /// @return members in an incarnation that was not present at the last call.
+  std::vector<NodeId> newMembers();
+  /// Logs a change of the statements of an engine, within a budget.
   void logChange(const std::string& change, uint64_t engine, std::optional<NodeId> from,
                  Duration age, Time now);
   void logPermits(Time now);
   std::vector<NodeId> otherNodes() const;
-  /// Tells the engine's owner that a request's prompt was read, that it ended, or was not sent.
-  void tell(const proto::LoadRelease& release);
-  void noteEnd(uint64_t asker, const proto::LoadRelease& release, Time now);
-  void forgetFormerLife(NodeLife from);
+  /// Notifies the owner of the engine that the prompt of a request was read, that the request
+  /// ended, or that it was not sent.
+  void sendRelease(const proto::LoadRelease& release);
+  void applyRelease(uint64_t asker, const proto::LoadRelease& release, Time now);
+  void forgetPreviousIncarnation(NodeLife from);
   void onQuestion(NodeLife from, const proto::LoadQuestion& question, Time now,
                   MessageSender& sender);
   void onAnswer(NodeLife from, const proto::LoadAnswer& answer, MessageSender& sender);
@@ -155,13 +162,14 @@
   std::shared_ptr<const MembershipSnapshot> members_;
   std::map<uint32_t, Question> questions_;
   uint32_t lastQuestion_ = 0;
-  std::map<NodeId, Incarnation> askers_;  ///< In which life each node asked last.
+  std::map<NodeId, Incarnation> askerIncarnations_;  ///< Incarnation in which each node last asked.
   double reachableShare_ = 1.0;
-  /// Of engines that this node counts for, or that told it themselves.
+  /// Of engines that this node owns, or from which it received the statement itself.
   std::map<uint64_t, Announcement> announcements_;
-  Owners owners_;                       ///< Used on the thread that ticks.
-  std::map<NodeId, Incarnation> told_;  ///< Nodes that were there at the last tick.
-  std::shared_ptr<const MembershipSnapshot> toldMembers_;  ///< What `told_` was made from.
+  Owners owners_;                               ///< Used on the thread that runs onTick().
+  std::map<NodeId, Incarnation> knownMembers_;  ///< Members at the last tick.
+  std::shared_ptr<const MembershipSnapshot>
+      knownSnapshot_;  ///< Snapshot that `knownMembers_` was built from.
   Time permitsLoggedAt_;
 };
 
--- a/src/peers/load_directory_statements.cpp
+++ b/src/peers/load_directory_statements.cpp
@@ -1,6 +1,6 @@
 /// @file
-/// What the directory does with what engines state: takes it, tells it to the other nodes, and
-/// writes what changed. The permits stand in load_directory.cpp.
+/// Statements of engines in the load directory: applies them, distributes them to the other nodes
+/// and logs the changes. Permits are handled in load_directory.cpp.
 #include <algorithm>
 #include <iterator>
 
@@ -15,19 +15,19 @@
 using gateway::EngineStatement;
 using gateway::LimitChange;
 
-/// A statement is told again after this, then after twice as long, and so on.
-constexpr Duration kFirstPause{300000};
-constexpr Duration kLongestPause{10000000};
-/// One that changes more often is told with the next tick.
-constexpr Duration kLeastPause{100000};
+/// A statement is repeated after this interval, which then doubles up to the maximum.
+constexpr Duration kFirstRepeatInterval{300000};
+constexpr Duration kMaxRepeatInterval{10000000};
+/// A statement that changes again within this time is sent with the next tick.
+constexpr Duration kMinRepeatInterval{100000};
 constexpr Duration kPermitLogInterval{4000000};
 
 }  // namespace
 
-void LoadDirectory::noteStatement(const EngineStatement& told) {
+void LoadDirectory::noteStatement(const EngineStatement& statement) {
   const Time now = clock_.now();
-  if (takeStatement(told, std::nullopt, now)) {
-    announce(told.engine, now);
+  if (applyStatement(statement, std::nullopt, now)) {
+    announce(statement.engine, now);
   }
 }
 
@@ -39,7 +39,7 @@
   return limits_.takeUnasked(engine, otherNodes().size() + 1, clock_.now());
 }
 
-std::string LoadDirectory::nameOf(uint64_t engine) const {
+std::string LoadDirectory::engineName(uint64_t engine) const {
   return engines_ == nullptr ? "" : engines_->idOf(engine);
 }
 
@@ -68,53 +68,57 @@
   return engines;
 }
 
-bool LoadDirectory::takeStatement(const EngineStatement& told, std::optional<NodeId> from,
-                                  Time now) {
-  const bool limitChanged = takeLimit(told, from, now);
-  const bool leavingChanged = takeLeaving(told, from, now);
-  const bool restChanged = takeRest(told, from, now);
+bool LoadDirectory::applyStatement(const EngineStatement& statement, std::optional<NodeId> from,
+                                   Time now) {
+  const bool limitChanged = applyLimit(statement, from, now);
+  const bool leavingChanged = applyLeaving(statement, from, now);
+  const bool restChanged = applyRest(statement, from, now);
   return limitChanged || leavingChanged || restChanged;
 }
 
-bool LoadDirectory::takeLimit(const EngineStatement& told, std::optional<NodeId> from, Time now) {
+bool LoadDirectory::applyLimit(const EngineStatement& statement, std::optional<NodeId> from,
+                               Time now) {
   const LimitChange change =
-      told.limit ? limits_.note(told.engine, *told.limit) : LimitChange::kNone;
+      statement.limit ? limits_.note(statement.engine, *statement.limit) : LimitChange::kNone;
   if (change == LimitChange::kNone) {
     return false;
   }
-  const std::optional<double> stated = told.limit->ratePerSecond;
-  if (stated && isOwner(told.engine)) {
-    permits_.expect(told.engine, rateHere(*stated), now);
+  const std::optional<double> stated = statement.limit->ratePerSecond;
+  if (stated && isOwner(statement.engine)) {
+    permits_.expect(statement.engine, localPermitRate(*stated), now);
   }
   const std::string rate = std::to_string(stated.value_or(0)) + " requests a second";
   logChange(change == LimitChange::kEnded   ? "engine limit: none is stated any more"
             : change == LimitChange::kNamed ? "engine limit: " + rate + " are stated"
                                             : "engine limit: changed to " + rate,
-            told.engine, from, now - told.limit->cameAt, now);
+            statement.engine, from, now - statement.limit->cameAt, now);
   return true;
 }
 
-bool LoadDirectory::takeLeaving(const EngineStatement& told, std::optional<NodeId> from, Time now) {
-  const bool isNews = told.leavingSince && engines_ != nullptr &&
-                      engines_->noteLeaving(told.engine, *told.leavingSince);
-  if (isNews) {
-    logChange("engine leaves: it says so in its answers", told.engine, from,
-              now - *told.leavingSince, now);
+bool LoadDirectory::applyLeaving(const EngineStatement& statement, std::optional<NodeId> from,
+                                 Time now) {
+  const bool isNew = statement.leavingSince && engines_ != nullptr &&
+                     engines_->noteLeaving(statement.engine, *statement.leavingSince);
+  if (isNew) {
+    logChange("engine leaves: it says so in its answers", statement.engine, from,
+              now - *statement.leavingSince, now);
   }
-  return isNews;
+  return isNew;
 }
 
-bool LoadDirectory::takeRest(const EngineStatement& told, std::optional<NodeId> from, Time now) {
+bool LoadDirectory::applyRest(const EngineStatement& statement, std::optional<NodeId> from,
+                              Time now) {
   const RestOf whom = from ? RestOf::kOtherNode : RestOf::kThisNode;
-  const bool isNews = told.restsUntil && engines_ != nullptr &&
-                      engines_->noteRest(told.engine, *told.restsUntil, whom);
-  if (isNews) {
-    const auto left = std::chrono::duration_cast<std::chrono::milliseconds>(*told.restsUntil - now);
+  const bool isNew = statement.restsUntil && engines_ != nullptr &&
+                     engines_->noteRest(statement.engine, *statement.restsUntil, whom);
+  if (isNew) {
+    const auto left =
+        std::chrono::duration_cast<std::chrono::milliseconds>(*statement.restsUntil - now);
     logChange("engine rests: " + std::to_string(left.count()) + " ms are left of what it asked " +
                   (from ? "another node for" : "this node for"),
-              told.engine, from, Duration(0), now);
+              statement.engine, from, Duration(0), now);
   }
-  return isNews;
+  return isNew;
 }
 
 void LoadDirectory::logChange(const std::string& change, uint64_t engine,
@@ -124,7 +128,7 @@
     return;
   }
   LogFields fields;
-  fields.engine = EngineId(nameOf(engine));
+  fields.engine = EngineId(engineName(engine));
   fields.peer = from;
   fields.elapsed = age;
   fields.leftOut = *leftOut;
@@ -142,7 +146,7 @@
       continue;
     }
     LogFields fields;
-    fields.engine = EngineId(nameOf(counts.engine));
+    fields.engine = EngineId(engineName(counts.engine));
     fields.leftOut = *leftOut;
     logInfo("engine limit: in the last 4 s " + std::to_string(counts.given) +
                 " requests of all nodes were permitted, " + std::to_string(counts.withheld) +
@@ -169,11 +173,11 @@
   {
     const std::lock_guard<std::mutex> lock(mutex_);
     const auto known = announcements_.find(engine);
-    if (known != announcements_.end() && now - known->second.toldAt < kLeastPause) {
-      known->second.pause = kLeastPause;
+    if (known != announcements_.end() && now - known->second.lastSentAt < kMinRepeatInterval) {
+      known->second.interval = kMinRepeatInterval;
       return;
     }
-    announcements_[engine] = Announcement{now, kFirstPause};
+    announcements_[engine] = Announcement{now, kFirstRepeatInterval};
   }
   sendStatements({engine}, owner == self_ ? otherNodes() : std::vector<NodeId>{owner}, now);
 }
@@ -195,25 +199,25 @@
   }
 }
 
-std::vector<NodeId> LoadDirectory::newcomers() {
+std::vector<NodeId> LoadDirectory::newMembers() {
   const std::lock_guard<std::mutex> lock(mutex_);
-  if (members_ == toldMembers_) {
+  if (members_ == knownSnapshot_) {
     return {};
   }
-  toldMembers_ = members_;
+  knownSnapshot_ = members_;
   std::map<NodeId, Incarnation> present;
   std::vector<NodeId> found;
   if (members_ != nullptr) {
     for (const Member& member : members_->members) {
-      const auto known = told_.find(member.life.node);
+      const auto known = knownMembers_.find(member.life.node);
       present[member.life.node] = member.life.incarnation;
-      const bool isKnown = known != told_.end() && known->second == member.life.incarnation;
+      const bool isKnown = known != knownMembers_.end() && known->second == member.life.incarnation;
       if (!isKnown && member.life.node != self_) {
         found.push_back(member.life.node);
       }
     }
   }
-  told_ = std::move(present);
+  knownMembers_ = std::move(present);
   return found;
 }
 
@@ -227,32 +231,32 @@
   if (members != owners_.members || engines != owners_.engines) {
     owners_ = Owners{std::move(members), std::move(engines), {}};
     for (const uint64_t engine : owners_.engines) {
-      owners_.of[engine] = ownerOf(engine);
+      owners_.byEngine[engine] = ownerOf(engine);
     }
   }
   return owners_;
 }
 
 void LoadDirectory::announceDue(Time now) {
-  const std::vector<NodeId> added = newcomers();
+  const std::vector<NodeId> added = newMembers();
   const Owners& known = owners(now);
   if (known.engines.empty()) {
     return;
   }
-  std::map<NodeId, std::vector<uint64_t>> due;  // By who counts for them.
+  std::map<NodeId, std::vector<uint64_t>> due;  // By owner.
   {
     const std::lock_guard<std::mutex> lock(mutex_);
     std::map<uint64_t, Announcement> kept;
-    for (const auto& [engine, owner] : known.of) {
+    for (const auto& [engine, owner] : known.byEngine) {
       const auto announced = announcements_.find(engine);
       if (owner != self_ && announced == announcements_.end()) {
-        continue;  // Another node told this one.
+        continue;  // The node that received the statement from the engine repeats it.
       }
       Announcement next = announced == announcements_.end() ? Announcement{} : announced->second;
-      if (now - next.toldAt >= next.pause) {
+      if (now - next.lastSentAt >= next.interval) {
         due[owner].push_back(engine);
-        next.pause = std::clamp(next.pause * 2, kFirstPause, kLongestPause);
-        next.toldAt = now;
+        next.interval = std::clamp(next.interval * 2, kFirstRepeatInterval, kMaxRepeatInterval);
+        next.lastSentAt = now;
       }
       kept[engine] = next;
     }
@@ -262,13 +266,13 @@
     sendStatements(engines, owner == self_ ? otherNodes() : std::vector<NodeId>{owner}, now);
   }
   for (const NodeId node : added) {
-    tellNewcomer(node, known, now);
+    sendStatementsTo(node, known, now);
   }
 }
 
-void LoadDirectory::tellNewcomer(NodeId node, const Owners& known, Time now) {
+void LoadDirectory::sendStatementsTo(NodeId node, const Owners& known, Time now) {
   std::vector<uint64_t> engines;
-  for (const auto& [engine, owner] : known.of) {
+  for (const auto& [engine, owner] : known.byEngine) {
     if (owner == self_ || owner == node) {
       engines.push_back(engine);
     }
@@ -278,10 +282,10 @@
 
 void LoadDirectory::onStatements(NodeLife from, const proto::EngineStatements& statements,
                                  Time now) {
-  for (const proto::EngineStatement& statement : statements.statements()) {
-    const EngineStatement told = decodeStatement(statement, now);
-    if (takeStatement(told, from.node, now) && isOwner(told.engine)) {
-      announce(told.engine, now);
+  for (const proto::EngineStatement& message : statements.statements()) {
+    const EngineStatement statement = decodeStatement(message, now);
+    if (applyStatement(statement, from.node, now) && isOwner(statement.engine)) {
+      announce(statement.engine, now);
     }
   }
 }
@@ -289,7 +293,7 @@
 void LoadDirectory::onTick(Time now, MessageSender&) {
   announceDue(now);
   limits_.forgetOld(
-      [this](uint64_t engine) { return engines_ == nullptr || !nameOf(engine).empty(); }, now);
+      [this](uint64_t engine) { return engines_ == nullptr || !engineName(engine).empty(); }, now);
   if (engines_ != nullptr) {
     engines_->forgetOld(now);
   }
--- a/src/peers/message_time.h
+++ b/src/peers/message_time.h
@@ -1,6 +1,6 @@
 /// @file
-/// Times as nodes tell them to each other: as ages in whole milliseconds, since their clocks
-/// differ.
+/// Encodes times in messages between nodes as ages in whole milliseconds, because the clocks of
+/// nodes differ.
 #pragma once
 
 #include <algorithm>
@@ -11,10 +11,10 @@
 
 namespace fernmoor::peers {
 
-/// @return whole milliseconds, 0 for a negative time, the greatest number for a very long one.
-inline uint32_t inMilliseconds(Duration time) {
-  constexpr int64_t kMost = std::numeric_limits<uint32_t>::max();
-  return static_cast<uint32_t>(std::clamp<int64_t>(time.count() / 1000, 0, kMost));
+/// @return whole milliseconds, clamped to the range of uint32_t: 0 for a negative duration.
+inline uint32_t toMilliseconds(Duration time) {
+  constexpr int64_t kMax = std::numeric_limits<uint32_t>::max();
+  return static_cast<uint32_t>(std::clamp<int64_t>(time.count() / 1000, 0, kMax));
 }
 
 }  // namespace fernmoor::peers
--- a/src/peers/mirror_content.h
+++ b/src/peers/mirror_content.h
@@ -1,5 +1,6 @@
 /// @file
-/// What a copy of the mirror lacks, as a message: made once for all nodes that lack the same.
+/// Builds messages with the changes that a copy of the mirror is missing. A long message is cached,
+/// so that it is built once for all nodes that are missing the same changes.
 #pragma once
 
 #include <cstddef>
@@ -16,8 +17,8 @@
 /// Changes of one kind from one revision to another.
 struct MirrorContentBlock {
   MirrorKind kind = MirrorKind::kRows;
-  proto::MirrorChanges changes;  ///< Without a proof.
-  size_t bytes = 0;              ///< Of `changes` as a message.
+  proto::MirrorChanges changes;  ///< Without the time of the last confirmed read.
+  size_t bytes = 0;              ///< Serialized size of `changes`.
 };
 
 using MirrorContentPtr = std::shared_ptr<const MirrorContentBlock>;
@@ -25,19 +26,20 @@
 /// Thread-safe.
 class MirrorContent {
  public:
-  /// @param mirror outlives this.
+  /// @param mirror must outlive this object.
   explicit MirrorContent(const StateMirror& mirror) : mirror_(mirror) {}
 
-  /// @return whether what a copy at `since` lacks is short enough to be told unasked, in a
-  /// datagram.
-  bool isShort(MirrorKind kind, uint64_t since) const;
-  /// @return what a copy at `since` lacks; null if it is up to date. Takes long where it is long.
+  /// @return whether the changes after revision `since` fit in a datagram, so that they can be sent
+  ///         without being asked for.
+  bool fitsInDatagram(MirrorKind kind, uint64_t since) const;
+  /// @return the changes after revision `since`; null if there are none. Slow if there are many, as
+  ///         it compresses them.
   MirrorContentPtr since(MirrorKind kind, uint64_t since);
 
  private:
   const StateMirror& mirror_;
   std::mutex mutex_;
-  std::deque<MirrorContentPtr> kept_;  ///< Long blocks that were asked for last, newest in front.
+  std::deque<MirrorContentPtr> cachedBlocks_;  ///< Long blocks, the most recently built one first.
 };
 
 }  // namespace fernmoor::peers
--- a/src/peers/mirror_role.cpp
+++ b/src/peers/mirror_role.cpp
@@ -12,33 +12,36 @@
 
 namespace {
 
-/// Nodes that may step in for the readers: enough that one lives where some stop or die together,
-/// and few at any size, since each looks at the store by itself.
-constexpr size_t kStandbys = 4;
+/// Nodes that may stand in for the readers: enough that one survives if several stop or die
+/// together, and few in a deployment of any size, because each of them polls the store by itself.
+constexpr size_t kStandbyCount = 4;
 constexpr uint64_t kStandbyKey = 0x72656164657273;
-constexpr Duration kAskInterval{400000};
-/// A node does not count as a reader before: until it knows the others all of them would.
+constexpr Duration kPollInterval{400000};
+/// A node is not considered a reader for this time after its start: until nodes know the other
+/// members, each of them would become one.
 constexpr Duration kSettleTime{1000000};
-/// So long after its start a node that was told nothing has read what it needs to serve by itself.
-constexpr Duration kStartTime{3000000};
-/// What one more node between the store and this one adds to the age of a proof: the time between
-/// its questions and the way.
-constexpr Duration kHop{500000};
-/// With a proof older than this a relay asks another node; one that no other asks reads each 0.6 s.
-constexpr Duration kOldProof{1100000};
-/// With a proof older than this a relay reads the store itself.
-constexpr Duration kFallbackProof{1500000};
-/// The same for nodes that ask relays: these have fallen back and been asked by then.
-constexpr Duration kLateFallbackProof{3000000};
-/// Nodes that asked within this time are told of changes at once.
-constexpr Duration kAskerMemory{2000000};
-constexpr size_t kMostQuestions = 64;
-/// A node that has been offered changes counts as told so long before it has them: what is pulled
-/// is queued within a moment, and most tables cross the narrowest link within this.
+/// A node that has received nothing from others within this time after its start has read by itself
+/// what it needs to serve.
+constexpr Duration kStartupTime{3000000};
+/// Age that one more hop between the store and this node adds to a confirmed read: the interval
+/// between questions plus the transit time.
+constexpr Duration kHopDelay{500000};
+/// A relay whose last confirmed read is older than this asks another node. A reader that no other
+/// node answers reads the store every 0.6 s.
+constexpr Duration kStaleReadAge{1100000};
+/// A relay whose last confirmed read is older than this reads the store itself.
+constexpr Duration kFallbackReadAge{1500000};
+/// The same for nodes that poll relays: by then the relays have fallen back and have been polled.
+constexpr Duration kLateFallbackReadAge{3000000};
+/// Changes are pushed at once to the nodes that asked within this time.
+constexpr Duration kAskerRetention{2000000};
+constexpr size_t kMaxOpenQuestions = 64;
+/// A node that was offered changes counts as up to date for this time before it holds them: a pull
+/// is queued at once, and most tables cross the slowest link within this time.
 constexpr Duration kPullGrace{1000000};
-/// Bytes that wait for all nodes together; beyond them those that pull are put off. Half of what
-/// the transport holds, the rest is for other messages.
-constexpr size_t kMostWaiting = 2U << 20U;
+/// Maximum bytes queued for all nodes together; pulls beyond it are deferred. This is half of the
+/// capacity of the transport's queue; the rest is reserved for other messages.
+constexpr size_t kMaxQueuedBytes = 2U << 20U;
 
 bool contains(const std::vector<NodeId>& nodes, NodeId node) {
   return std::find(nodes.begin(), nodes.end(), node) != nodes.end();
@@ -46,37 +49,37 @@
 
 }  // namespace
 
-/// Relays ask the readers first and the relays before them in the order then, so that the first one
-/// which the store serves reads for the rest, and no two relieve each other; other nodes ask the
-/// relays, those of their zone first. Last come all nodes, which read themselves where the store
-/// turns all relays away.
+/// Relays ask the readers first and then the relays ranked before them, so that the first relay
+/// that the store serves reads for the rest and no two relays relieve each other of reading. Other
+/// nodes ask the relays, those of their own zone first. All remaining nodes come last; they read
+/// the store themselves if it rejects all relays.
 MirrorRole::Duties MirrorRole::dutiesOf(NodeId self, const MembershipSnapshot& members) {
   const RelayTiers tiers = relayTiers(members);
   Duties duties;
   duties.isReader = contains(tiers.readers, self);
   const bool isRelay = contains(tiers.relays, self);
   duties.isBelowRelays = !isRelay && tiers.relays.size() > tiers.readers.size();
-  duties.above.insert(tiers.readers.begin(), tiers.readers.end());
-  // All relays are above a node that is none.
+  duties.upstream.insert(tiers.readers.begin(), tiers.readers.end());
+  // All relays are upstream of a node that is not a relay.
   const auto ownPlace = std::find(tiers.relays.begin(), tiers.relays.end(), self);
-  duties.above.insert(tiers.relays.begin(), ownPlace);
+  duties.upstream.insert(tiers.relays.begin(), ownPlace);
   const Member* const own = members.find(self);
   const ZoneId zone = own == nullptr ? ZoneId() : own->zone;
   for (const Member& member : members.members) {
     if (member.state == MemberState::kAlive && member.life.node != self) {
-      duties.askOrder.push_back(member.life.node);
+      duties.pollOrder.push_back(member.life.node);
     }
   }
-  duties.isAlone = duties.askOrder.empty();
-  const size_t count = duties.askOrder.size();
-  duties.askOrder = rendezvousTop(nodeHash(self), std::move(duties.askOrder), count, nodeHash);
+  duties.isAlone = duties.pollOrder.empty();
+  const size_t count = duties.pollOrder.size();
+  duties.pollOrder = rendezvousTop(nodeHash(self), std::move(duties.pollOrder), count, nodeHash);
   const auto moveToFront = [&](auto isFirst) {
-    std::stable_partition(duties.askOrder.begin(), duties.askOrder.end(), isFirst);
+    std::stable_partition(duties.pollOrder.begin(), duties.pollOrder.end(), isFirst);
   };
   moveToFront([&](NodeId node) { return members.find(node)->zone == zone; });
   moveToFront([&](NodeId node) { return contains(tiers.relays, node); });
   if (isRelay) {
-    moveToFront([&](NodeId node) { return duties.above.count(node) > 0; });
+    moveToFront([&](NodeId node) { return duties.upstream.count(node) > 0; });
     moveToFront([&](NodeId node) { return contains(tiers.readers, node); });
   }
   return duties;
@@ -93,7 +96,7 @@
 
 ReadDuty MirrorRole::duty(Time now) const {
   const std::lock_guard<std::mutex> lock(mutex_);
-  const bool wasTold = toldProof_ != Time();
+  const bool wasTold = upstreamReadAt_ != Time();
   const Duration age = now - startedAt_;
   if (age < kSettleTime) {
     return wasTold ? ReadDuty::kNone : ReadDuty::kStart;
@@ -101,11 +104,11 @@
   if (duties_.isAlone || duties_.isReader) {
     return ReadDuty::kReader;
   }
-  const Duration trusted = duties_.isBelowRelays ? kLateFallbackProof : kFallbackProof;
-  if (now - toldProof_ <= trusted) {
+  const Duration trusted = duties_.isBelowRelays ? kLateFallbackReadAge : kFallbackReadAge;
+  if (now - upstreamReadAt_ <= trusted) {
     return ReadDuty::kNone;
   }
-  return !wasTold && age < kStartTime ? ReadDuty::kStart : ReadDuty::kFallback;
+  return !wasTold && age < kStartupTime ? ReadDuty::kStart : ReadDuty::kFallback;
 }
 
 std::optional<size_t> MirrorRole::standbyRank() const {
@@ -119,14 +122,14 @@
     }
   }
   const std::vector<NodeId> first =
-      rendezvousTop(kStandbyKey, std::move(living), kStandbys, nodeHash);
+      rendezvousTop(kStandbyKey, std::move(living), kStandbyCount, nodeHash);
   const auto own = std::find(first.begin(), first.end(), self_);
   return own == first.end() ? std::nullopt : std::optional<size_t>(own - first.begin());
 }
 
 std::optional<NodeId> MirrorRole::nodeToAsk() const {
-  const std::vector<NodeId>& nodes = duties_.askOrder;
-  return nodes.empty() ? std::nullopt : std::optional<NodeId>(nodes[rotation_ % nodes.size()]);
+  const std::vector<NodeId>& nodes = duties_.pollOrder;
+  return nodes.empty() ? std::nullopt : std::optional<NodeId>(nodes[pollOffset_ % nodes.size()]);
 }
 
 void MirrorRole::sendQuestion(NodeId to, uint32_t id, bool pulls, MessageSender& sender) {
@@ -165,18 +168,18 @@
   std::optional<NodeId> node;
   {
     const std::lock_guard<std::mutex> lock(mutex_);
-    rotation_ += questions_.giveUp(now);
-    if (now < nextQuestionAt_ || questions_.size() >= kMostQuestions) {
+    pollOffset_ += questions_.expire(now);
+    if (now < nextPollAt_ || questions_.size() >= kMaxOpenQuestions) {
       return;
     }
     const std::optional<Time> proven = mirror_.provenAt(MirrorKind::kRows);
-    if (proven && now - *proven < kAskInterval) {
-      return;  // This node reads itself.
+    if (proven && now - *proven < kPollInterval) {
+      return;  // This node reads the store itself.
     }
-    if (readsItself() && !isAbove(nodeToAsk())) {
-      rotation_ = 0;  // Those whose duty it is may relieve this node.
+    if (hasNewestRead() && !isUpstream(nodeToAsk())) {
+      pollOffset_ = 0;  // Upstream nodes may be able to relieve this node of reading.
     }
-    nextQuestionAt_ = now + kAskInterval;
+    nextPollAt_ = now + kPollInterval;
     node = nodeToAsk();
   }
   if (node) {
@@ -186,18 +189,20 @@
 
 void MirrorRole::addKind(MirrorKind kind, uint64_t held, bool isPulled, Time now,
                          MessageSender& sender, proto::MirrorAnswer& answer) {
-  // Before what it is to prove: a change that is applied and proven in between is not in that.
+  // Read before the content that it confirms: otherwise a change that is applied and confirmed in
+  // between would be confirmed without being part of the content.
   const std::optional<Time> proven = mirror_.provenAt(kind);
-  const bool isShort = content_.isShort(kind, held);
-  const MirrorContentPtr lacks = isShort || isPulled ? content_.since(kind, held) : nullptr;
+  const bool isShort = content_.fitsInDatagram(kind, held);
+  const MirrorContentPtr missing = isShort || isPulled ? content_.since(kind, held) : nullptr;
   const size_t waiting = sender.waitingBytes();
-  const bool hasRoom = isShort || waiting == 0 || (lacks && waiting + lacks->bytes <= kMostWaiting);
+  const bool hasRoom =
+      isShort || waiting == 0 || (missing && waiting + missing->bytes <= kMaxQueuedBytes);
   proto::MirrorChanges changes;
   changes.set_kind(static_cast<uint32_t>(kind));
   changes.set_from_revision(mirror_.revision(kind));
   changes.set_to_revision(changes.from_revision());
-  if (lacks && hasRoom) {
-    changes = lacks->changes;
+  if (missing && hasRoom) {
+    changes = missing->changes;
   } else if (!isShort) {
     proto::MirrorOffer& offer = *answer.add_offers();
     offer.set_kind(static_cast<uint32_t>(kind));
@@ -207,7 +212,7 @@
     changes.set_has_proof(true);
     changes.set_proof_age_microseconds(static_cast<uint64_t>((now - *proven).count()));
   }
-  if (proven || (lacks && hasRoom)) {
+  if (proven || (missing && hasRoom)) {
     *answer.add_changes() = std::move(changes);
   }
 }
@@ -231,7 +236,7 @@
   }
 }
 
-void MirrorRole::takeTimes(const proto::MirrorAnswer& answer, Time askedAt, Time now) {
+void MirrorRole::applyTimes(const proto::MirrorAnswer& answer, Time askedAt, Time now) {
   if (answer.store_revision() != 0) {
     const Duration age(static_cast<int64_t>(answer.store_revision_age_microseconds()));
     revisionTimes_.note({answer.store_revision(), askedAt - age});
@@ -254,9 +259,10 @@
                             MessageSender& sender) {
   {
     const std::lock_guard<std::mutex> lock(mutex_);
-    askers_[from.node] = now;
+    recentAskers_[from.node] = now;
   }
-  // Who pulls anew while an answer to it waits has given that up; it waits for the same again.
+  // A node that pulls again while an answer to it is queued has let its question expire. It is told
+  // to wait for the queued answer instead of getting a second one.
   const bool isQueued = question.pulls() && sender.waitingBytes(from.node) > 0;
   if (!isQueued) {
     proto::Envelope envelope;
@@ -279,37 +285,38 @@
   }
 }
 
-void MirrorRole::noteToldProof(NodeId teller, std::optional<Time> provenAt, Time now) {
+void MirrorRole::noteConfirmedRead(NodeId teller, std::optional<Time> provenAt, Time now) {
   const std::lock_guard<std::mutex> lock(mutex_);
-  const Duration old = duties_.isBelowRelays ? kOldProof + kHop : kOldProof;
+  const Duration old = duties_.isBelowRelays ? kStaleReadAge + kHopDelay : kStaleReadAge;
   if (!provenAt || now - *provenAt > old) {
-    ++rotation_;
+    ++pollOffset_;
   }
   if (!provenAt) {
     return;
   }
-  newestTold_ = std::max(newestTold_, *provenAt);
-  if (duties_.above.count(teller) > 0) {
-    toldProof_ = std::max(toldProof_, *provenAt);
+  newestPeerReadAt_ = std::max(newestPeerReadAt_, *provenAt);
+  if (duties_.upstream.count(teller) > 0) {
+    upstreamReadAt_ = std::max(upstreamReadAt_, *provenAt);
   }
 }
 
-bool MirrorRole::isBeingBrought(uint64_t rows, Time now) const {
+bool MirrorRole::holdsOrPulls(uint64_t rows, Time now) const {
   const std::lock_guard<std::mutex> lock(mutex_);
   const uint64_t held = mirror_.revision(MirrorKind::kRows);
-  return held >= rows || (held != 0 && lacksSince_ && now - *lacksSince_ <= kPullGrace);
+  return held >= rows || (held != 0 && missingSince_ && now - *missingSince_ <= kPullGrace);
 }
 
-bool MirrorRole::readsItself() const {
+bool MirrorRole::hasNewestRead() const {
   const std::optional<Time> proven = mirror_.provenAt(MirrorKind::kRows);
-  return proven && *proven > newestTold_;
+  return proven && *proven > newestPeerReadAt_;
 }
 
-bool MirrorRole::isAbove(std::optional<NodeId> node) const {
-  return node && duties_.above.count(*node) > 0;
+bool MirrorRole::isUpstream(std::optional<NodeId> node) const {
+  return node && duties_.upstream.count(*node) > 0;
 }
 
-void MirrorRole::takeChanges(const proto::MirrorChanges& changes, Time now, MessageSender& sender) {
+void MirrorRole::applyChanges(const proto::MirrorChanges& changes, Time now,
+                              MessageSender& sender) {
   const auto kind = static_cast<MirrorKind>(changes.kind());
   Result<std::vector<MirrorEntry>> entries = unpackEntries(changes);
   if (!isOk(entries)) {
@@ -328,8 +335,8 @@
   }
 }
 
-void MirrorRole::takeOffers(NodeId from, const proto::MirrorAnswer& answer, Time now,
-                            MessageSender& sender) {
+void MirrorRole::handleOffers(NodeId from, const proto::MirrorAnswer& answer, Time now,
+                              MessageSender& sender) {
   bool isLacking = false;
   for (const proto::MirrorOffer& offer : answer.offers()) {
     if (offer.kind() < kMirrorKinds) {
@@ -344,20 +351,20 @@
   }
   {
     const std::lock_guard<std::mutex> lock(mutex_);
-    lacksSince_ = lacksSince_.value_or(now);
+    missingSince_ = missingSince_.value_or(now);
   }
   pull(from, now, sender);
 }
 
-void MirrorRole::noteHeld() {
+void MirrorRole::closeCompletedPull() {
   const std::lock_guard<std::mutex> lock(mutex_);
   for (size_t kind = 0; kind < kMirrorKinds; ++kind) {
     if (mirror_.revision(static_cast<MirrorKind>(kind)) < offered_[kind]) {
       return;
     }
   }
-  lacksSince_.reset();
-  questions_.notePulled();
+  missingSince_.reset();
+  questions_.completePull();
 }
 
 void MirrorRole::onAnswer(NodeLife from, const proto::MirrorAnswer& answer, Time now,
@@ -372,7 +379,7 @@
     asked = questions_.takeAnswered(answer.question_id(), from.node);
   }
   if (asked) {
-    takeTimes(answer, asked->askedAt, now);
+    applyTimes(answer, asked->askedAt, now);
   }
   std::optional<Time> rowsProof;
   uint64_t provenRows = 0;
@@ -381,7 +388,7 @@
       continue;
     }
     const auto kind = static_cast<MirrorKind>(changes.kind());
-    takeChanges(changes, now, sender);
+    applyChanges(changes, now, sender);
     if (asked && changes.has_proof()) {
       const Duration age(static_cast<int64_t>(changes.proof_age_microseconds()));
       mirror_.prove(kind, changes.to_revision(), asked->askedAt - age);
@@ -391,15 +398,16 @@
       }
     }
   }
-  noteHeld();
-  // A pull that is answered by an offer was put off: the next question comes soon enough.
+  closeCompletedPull();
+  // A pull that is answered by an offer was deferred; the next regular question comes soon enough.
   if (asked && asked->pulls) {
     return;
   }
-  takeOffers(from.node, answer, now, sender);
+  handleOffers(from.node, answer, now, sender);
   if (asked) {
-    // What this node does not hold and does not get either proves nothing here.
-    noteToldProof(asked->to, isBeingBrought(provenRows, now) ? rowsProof : std::nullopt, now);
+    // A read of a revision that this node neither holds nor is pulling confirms nothing about its
+    // copy.
+    noteConfirmedRead(asked->to, holdsOrPulls(provenRows, now) ? rowsProof : std::nullopt, now);
   }
 }
 
@@ -407,9 +415,9 @@
   std::vector<NodeId> audience;
   {
     const std::lock_guard<std::mutex> lock(mutex_);
-    for (auto asker = askers_.begin(); asker != askers_.end();) {
-      if (now - asker->second > kAskerMemory) {
-        asker = askers_.erase(asker);
+    for (auto asker = recentAskers_.begin(); asker != recentAskers_.end();) {
+      if (now - asker->second > kAskerRetention) {
+        asker = recentAskers_.erase(asker);
       } else {
         audience.push_back(asker->first);
         ++asker;
--- a/src/peers/mirror_role.h
+++ b/src/peers/mirror_role.h
@@ -1,27 +1,29 @@
 /// @file
-/// Relay of the mirrored state between nodes. A fixed number of nodes, the readers, read the
-/// operators' store. One node of some sixteen of a zone, the relays, ask the readers a few times a
-/// second, and all others ask the relays of their zone; who learns something new tells at once
-/// those that asked lately. So neither the calls to the store nor the questions to one node grow
-/// with the number of nodes.
+/// Replicates the state of the operators' store to all nodes over a fan-out tree. A fixed number of
+/// nodes, the readers, read the store. About one node in sixteen of each zone is a relay; relays
+/// poll the readers a few times a second, and all other nodes poll the relays of their zone. A node
+/// that receives a change forwards it at once to the nodes that polled it recently. Therefore
+/// neither the calls to the store nor the questions to one node grow with the number of nodes.
 ///
-/// Short changes are told at once. Long ones are offered, and pulled by each node from one other at
-/// a time, with a time that fits their length: a link that is narrow carries them once, and nothing
-/// waits in memory that a node did not ask for.
+/// Short changes are pushed at once. Long changes are only offered, and each node pulls them from
+/// one other node at a time, with a deadline that depends on their length. This way a slow link
+/// carries them once, and nothing is queued that no node asked for.
 ///
-/// A proof that a copy is the newest ages from the start of the reader's own call; the asker counts
-/// the age that it is told from the instant of its own question. So a delay anywhere on the way,
-/// or a stop of either process, only makes a proof older.
+/// A confirmed read states that a copy was up to date at an instant. Its age counts from the start
+/// of the reader's own call to the store, and the asking node subtracts the age in an answer from
+/// the time of its own question. A delay anywhere on the way, or a suspension of either process,
+/// can therefore only make a confirmed read look older than it is.
 ///
-/// The store may turn the readers away and serve others. A relay that nobody above it tells
-/// anything new reads the store itself, and goes on until it is told again; other nodes do so only
-/// later, when their relays have had time to. Nodes that neither anybody above them nor the store
-/// tells ask the other nodes in turn.
+/// The store may reject the readers and serve other nodes. A relay that receives nothing recent
+/// from upstream reads the store itself until upstream nodes answer again; nodes below the relays
+/// do so only later, once their relays have had time to. Nodes that get answers neither from
+/// upstream nor from the store ask the other nodes in turn.
 ///
-/// Beside the copy, nodes tell each other since when versions of weights are named: the bound of a
-/// version must not begin anew in each process. They also tell how far the store had come at which
-/// instant, by which each dates what it is told. Such ages too count from the asker's question, and
-/// none is told without one: a message may have been on its way for long.
+/// Besides the copy, nodes exchange since when versions of weights have been named, because the
+/// bound of a version must not start anew in each process. They also exchange which store revision
+/// was current at which instant, by which each node dates the changes that it receives. These ages
+/// count from the question too and are only sent in answers, because any other message may have
+/// been delayed for long.
 #pragma once
 
 #include <array>
@@ -44,15 +46,15 @@
 
 namespace fernmoor::peers {
 
-/// Whether this node reads the store itself, and why.
+/// Whether and why this node reads the store itself.
 enum class ReadDuty {
-  kNone,    ///< Others read and tell this node.
-  kStart,   ///< It was started a moment ago and nobody has told it anything: reads each kind once.
-  kReader,  ///< It is one of the readers.
-  kFallback,  ///< It should be told by others, and is not.
+  kNone,      ///< Other nodes read the store and answer this one.
+  kStart,     ///< Started recently and has received nothing yet: reads each kind once.
+  kReader,    ///< Is one of the readers.
+  kFallback,  ///< Should receive the state from upstream, but does not.
 };
 
-/// @return whether a node with that duty follows the store.
+/// @return whether a node with this duty reads the store continuously.
 inline bool followsStore(ReadDuty duty) {
   return duty == ReadDuty::kReader || duty == ReadDuty::kFallback;
 }
@@ -60,8 +62,8 @@
 /// Thread-safe.
 class MirrorRole : public Role {
  public:
-  /// @param mirror, wanted, revisionTimes outlive the role.
-  /// @param startedAt when this node was started.
+  /// @param mirror, wanted, revisionTimes must outlive the role.
+  /// @param startedAt start time of this node.
   MirrorRole(NodeId self, StateMirror& mirror, WantedWeights& wanted, RevisionTimes& revisionTimes,
              Time startedAt)
       : self_(self),
@@ -72,15 +74,16 @@
         startedAt_(startedAt),
         questions_(static_cast<uint32_t>(startedAt.time_since_epoch().count())) {}
 
-  /// Sets the picture of the members that duties are shared out by.
+  /// Sets the members among which the duties are assigned.
   void setMembers(std::shared_ptr<const MembershipSnapshot> members);
-  /// @return whether this node must read the store now.
+  /// @return whether and why this node must read the store now.
   ReadDuty duty(Time now) const;
-  /// @return how many nodes come before this one to step in where the readers do not do what one
-  ///         node has to; nothing where it is none of the first few. Nodes that stop are among
-  ///         them for as long as they live.
+  /// @return the rank of this node among those that stand in for the readers if these fail at a
+  /// task
+  ///         of a single node; nothing if it is not one of the first few. Draining nodes keep their
+  ///         rank for as long as they are alive.
   std::optional<size_t> standbyRank() const;
-  /// Tells nodes that asked lately of changes that are new to this one.
+  /// Sends changes that are new to this node to the nodes that polled it recently.
   void announce(MirrorKind kind, uint64_t fromRevision, Time now, MessageSender& sender);
 
   void onMessage(NodeLife from, const proto::Envelope& envelope, Time now,
@@ -88,45 +91,48 @@
   void onTick(Time now, MessageSender& sender) override;
 
  private:
-  /// What follows from one picture of the members.
+  /// Duties of this node, derived from one membership snapshot.
   struct Duties {
     bool isAlone = true;  ///< No other node is known.
     bool isReader = false;
-    bool isBelowRelays = false;    ///< It is told by nodes that are told by the readers.
-    std::set<NodeId> above;        ///< Nodes whose proofs relieve this one of reading.
-    std::vector<NodeId> askOrder;  ///< All other living nodes, those to be asked first in front.
+    bool isBelowRelays = false;     ///< It polls relays, which poll the readers.
+    std::set<NodeId> upstream;      ///< Nodes whose confirmed reads relieve this one of reading.
+    std::vector<NodeId> pollOrder;  ///< All other live nodes, in the order of preference.
   };
 
   static Duties dutiesOf(NodeId self, const MembershipSnapshot& members);
   std::optional<NodeId> nodeToAsk() const;
-  /// Takes the proof of the rows in an answer, and goes on to another node where it is old.
-  void noteToldProof(NodeId teller, std::optional<Time> provenAt, Time now);
-  /// @return whether this node holds the rows of that revision, or is about to.
-  bool isBeingBrought(uint64_t rows, Time now) const;
-  /// Call with the lock held. @return whether the newest proof comes from a read of this node.
-  bool readsItself() const;
+  /// Records the confirmed read of the rows in an answer, and moves on to another node if it is
+  /// stale.
+  void noteConfirmedRead(NodeId teller, std::optional<Time> provenAt, Time now);
+  /// @return whether this node holds the rows of that revision or is pulling them.
+  bool holdsOrPulls(uint64_t rows, Time now) const;
+  /// Call with the lock held. @return whether the newest confirmed read is one of this node.
+  bool hasNewestRead() const;
   /// Call with the lock held.
-  bool isAbove(std::optional<NodeId> node) const;
+  bool isUpstream(std::optional<NodeId> node) const;
   void ask(NodeId reader, Time now, MessageSender& sender);
-  /// Asks for all that this node lacks, unless it is being answered that already.
+  /// Asks for all changes that this node is missing, unless a pull is open already.
   void pull(NodeId from, Time now, MessageSender& sender);
   void sendQuestion(NodeId to, uint32_t id, bool pulls, MessageSender& sender);
   void onQuestion(NodeLife from, const proto::MirrorQuestion& question, Time now,
                   MessageSender& sender);
   void onAnswer(NodeLife from, const proto::MirrorAnswer& answer, Time now, MessageSender& sender);
-  /// Takes changes of a kind and passes on what is new.
-  void takeChanges(const proto::MirrorChanges& changes, Time now, MessageSender& sender);
-  /// Pulls from the node what it offers and this one lacks.
-  void takeOffers(NodeId from, const proto::MirrorAnswer& answer, Time now, MessageSender& sender);
-  /// Nothing is pulled any more once all that was offered is here, by whatever way it came.
-  void noteHeld();
-  /// Adds the proof of a kind, and what the asker lacks or an offer of it.
-  /// @param isPulled the asker waits for it, however large.
+  /// Applies changes of a kind and forwards those that are new.
+  void applyChanges(const proto::MirrorChanges& changes, Time now, MessageSender& sender);
+  /// Pulls the offered changes that this node is missing.
+  void handleOffers(NodeId from, const proto::MirrorAnswer& answer, Time now,
+                    MessageSender& sender);
+  /// Closes the open pull once all offered revisions are held, by whatever way they arrived.
+  void closeCompletedPull();
+  /// Adds the last confirmed read of a kind, and the changes that the asker is missing or an offer
+  /// of them.
+  /// @param isPulled whether the asker requests the changes however large they are.
   void addKind(MirrorKind kind, uint64_t held, bool isPulled, Time now, MessageSender& sender,
                proto::MirrorAnswer& answer);
   void addTimes(Time now, proto::MirrorAnswer& answer) const;
-  /// @param askedAt when the question began.
-  void takeTimes(const proto::MirrorAnswer& answer, Time askedAt, Time now);
+  /// @param askedAt time at which the question was sent.
+  void applyTimes(const proto::MirrorAnswer& answer, Time askedAt, Time now);
 
   const NodeId self_;
   StateMirror& mirror_;
@@ -136,15 +142,16 @@
   const Time startedAt_;
   mutable std::mutex mutex_;
   std::shared_ptr<const MembershipSnapshot> members_;
-  Duties duties_;  ///< By `members_`.
+  Duties duties_;  ///< Derived from `members_`.
   OpenQuestions questions_;
-  std::array<uint64_t, kMirrorKinds> offered_{};  ///< Newest revisions that any node offered.
-  std::optional<Time> lacksSince_;  ///< Since when something is offered that is not here.
-  std::map<NodeId, Time> askers_;   ///< Who asked, and when last.
-  Time nextQuestionAt_;
-  Time toldProof_;       ///< Start of the newest proof that a node above this one told.
-  Time newestTold_;      ///< Start of the newest proof that any node told.
-  size_t rotation_ = 0;  ///< Grows when an asked node does not answer, or knows too little.
+  std::array<uint64_t, kMirrorKinds>
+      offered_{};                        ///< Newest revision of each kind that any node offered.
+  std::optional<Time> missingSince_;     ///< Since when an offered revision has been missing here.
+  std::map<NodeId, Time> recentAskers_;  ///< Time of the last question, by asking node.
+  Time nextPollAt_;
+  Time upstreamReadAt_;    ///< Start of the newest confirmed read received from upstream.
+  Time newestPeerReadAt_;  ///< Start of the newest confirmed read received from any node.
+  size_t pollOffset_ = 0;  ///< Grows when an asked node does not answer or is stale.
 };
 
 }  // namespace fernmoor::peers
--- a/src/peers/open_questions.cpp
+++ b/src/peers/open_questions.cpp
@@ -7,28 +7,30 @@
 
 namespace {
 
-/// A question without an answer, or word that it waits, is given up then, and another node is
-/// asked.
+/// A question for which neither an answer nor a notice that it is queued arrives within this time
+/// expires, and another node is asked.
 constexpr Duration kAnswerTimeout{300000};
-/// Bytes a second that a queue is assumed to drain at: the narrowest links carry 1.25 MB/s, some of
-/// which are requests and answers.
-constexpr double kAssumedRate = 0.5e6;
-/// The node may stop while its answer waits; the shortest bound of a table is 2 s, and another node
-/// can still answer a pull within the second after this.
-constexpr Duration kLongestFirstWait{1500000};
-/// Doublings of the wait; by then a link of 1.25 MB/s has carried 30 MB.
-constexpr int kMostDoublings = 4;
+/// Rate at which a send queue is assumed to drain, in bytes per second. The slowest links carry
+/// 1.25 MB/s, part of which is used by requests and responses.
+constexpr double kAssumedBytesPerSecond = 0.5e6;
+/// Maximum extension before any doubling. The asked node may stop while its answer is queued; the
+/// shortest bound on the age of a table is 2 s, and another node can still answer a pull within the
+/// second after this.
+constexpr Duration kMaxFirstWait{1500000};
+/// Maximum doublings of the extension; by then a link of 1.25 MB/s has carried 30 MB.
+constexpr int kMaxDoublings = 4;
 
-Duration queuedTime(size_t bytes, int failedPulls) {
-  const Duration needed = kAnswerTimeout + fromSeconds(static_cast<double>(bytes) / kAssumedRate);
-  return std::min(needed, kLongestFirstWait) * (1 << std::min(failedPulls, kMostDoublings));
+Duration queuedTimeout(size_t bytes, int failedPulls) {
+  const Duration needed =
+      kAnswerTimeout + fromSeconds(static_cast<double>(bytes) / kAssumedBytesPerSecond);
+  return std::min(needed, kMaxFirstWait) * (1 << std::min(failedPulls, kMaxDoublings));
 }
 
 }  // namespace
 
 uint32_t OpenQuestions::add(const OpenQuestion& question) {
   ++lastId_;
-  lastId_ += lastId_ == 0 ? 1 : 0;  // 0 stands for what was not asked.
+  lastId_ += lastId_ == 0 ? 1 : 0;  // 0 marks messages that answer no question.
   questions_[lastId_] = question;
   return lastId_;
 }
@@ -38,7 +40,7 @@
 }
 
 uint32_t OpenQuestions::pull(NodeId to, Time now) {
-  assert(!isPulling() && "one pull at a time, or the link carries the same twice");
+  assert(!isPulling() && "only one pull may be open, or the link carries the same data twice");
   pullId_ = add(OpenQuestion{to, now, now + kAnswerTimeout, true});
   return pullId_;
 }
@@ -46,7 +48,7 @@
 void OpenQuestions::noteQueued(uint32_t id, NodeId from, size_t bytes, Time now) {
   const auto found = questions_.find(id);
   if (found != questions_.end() && id == pullId_ && found->second.to == from) {
-    found->second.givenUpAt = now + queuedTime(bytes, failedPulls_);
+    found->second.deadline = now + queuedTimeout(bytes, failedPulls_);
   }
 }
 
@@ -63,27 +65,27 @@
   return question;
 }
 
-void OpenQuestions::notePulled() {
+void OpenQuestions::completePull() {
   questions_.erase(pullId_);
   pullId_ = 0;
   failedPulls_ = 0;
 }
 
-size_t OpenQuestions::giveUp(Time now) {
-  size_t givenUp = 0;
+size_t OpenQuestions::expire(Time now) {
+  size_t expired = 0;
   for (auto each = questions_.begin(); each != questions_.end();) {
-    if (now <= each->second.givenUpAt) {
+    if (now <= each->second.deadline) {
       ++each;
       continue;
     }
     if (each->second.pulls) {
       pullId_ = 0;
-      failedPulls_ += each->second.givenUpAt - each->second.askedAt > kAnswerTimeout ? 1 : 0;
+      failedPulls_ += each->second.deadline - each->second.askedAt > kAnswerTimeout ? 1 : 0;
     }
     each = questions_.erase(each);
-    ++givenUp;
+    ++expired;
   }
-  return givenUp;
+  return expired;
 }
 
 }  // namespace fernmoor::peers
--- a/src/peers/packed_entries.h
+++ b/src/peers/packed_entries.h
@@ -1,6 +1,6 @@
 /// @file
-/// Entries of the mirror as they cross a link where there are many: rows of a table are much alike,
-/// and deflated take about a tenth of their length.
+/// Compresses mirror entries for messages between nodes. Rows of a table resemble each other, and
+/// deflating them reduces their size to about a tenth.
 #pragma once
 
 #include <string>
@@ -12,12 +12,13 @@
 
 namespace fernmoor::peers {
 
-/// Puts the entries into the message, packed where they are longer than `plainBytes` together.
+/// Puts the entries into the message, compressed if their total size exceeds `plainBytes`.
 void packEntries(const std::vector<MirrorEntry>& entries, size_t plainBytes,
                  proto::MirrorChanges& changes);
 
-/// @return the entries of the message, packed or not; kTooLarge for more than a node takes from
-///         another, kInvalidRequest for bytes that are no entries. Never throws.
+/// @return the entries of the message, compressed or not; kTooLarge if they exceed the maximum
+/// size,
+///         kInvalidRequest if the bytes can't be decoded. Never throws.
 Result<std::vector<MirrorEntry>> unpackEntries(const proto::MirrorChanges& changes);
 
 }  // namespace fernmoor::peers
--- a/src/peers/part_directory.cpp
+++ b/src/peers/part_directory.cpp
@@ -13,12 +13,13 @@
 using gateway::PartHint;
 using gateway::PartKey;
 
-/// About 150 bytes each.
-constexpr size_t kPartsKept = 8192;
-/// Of one prompt, counted from its beginning, asked for and told: what nobody asks for is not told.
-constexpr size_t kMostPartsOfPrompt = 64;
-/// A node that has run for so long was told of every part that is still worth a hint.
-constexpr Duration kLearningTime{20000000};
+/// About 150 bytes per part.
+constexpr size_t kMaxParts = 8192;
+/// Parts of one prompt, from its beginning, that are looked up and reported. Parts that are never
+/// looked up are not reported either.
+constexpr size_t kMaxPartsPerPrompt = 64;
+/// A node that has run for this time has received every hint that is still useful.
+constexpr Duration kWarmUpTime{20000000};
 
 bool isKnown(const PartHint& hint) {
   return hint.engine != 0 || hint.isStored;
@@ -27,27 +28,27 @@
 }  // namespace
 
 PartDirectory::PartDirectory(NodeId self, const Clock& clock, MessageSender& sender)
-    : self_(self), clock_(clock), startedAt_(clock.now()), sender_(sender), memory_(kPartsKept) {}
+    : self_(self), clock_(clock), startedAt_(clock.now()), sender_(sender), memory_(kMaxParts) {}
 
 void PartDirectory::setMembers(std::shared_ptr<const MembershipSnapshot> members) {
   const std::lock_guard<std::mutex> lock(mutex_);
   members_ = std::move(members);
 }
 
-Keepers PartDirectory::keepersOf(PartKey part) const {
-  return rendezvousKeepers(part, self_, members_.get());
+KeyOwners PartDirectory::ownersOf(PartKey part) const {
+  return rendezvousOwners(part, self_, members_.get());
 }
 
 bool PartDirectory::isNew(Time now) const {
-  return now - startedAt_ < kLearningTime;
+  return now - startedAt_ < kWarmUpTime;
 }
 
 std::vector<PartHint> PartDirectory::find(const std::vector<PartKey>& parts) {
   Lookup lookup;
   lookup.hints.resize(parts.size());
   lookup.isSettled.resize(parts.size());
-  ask(Rank::kFirst, parts, lookup);
-  ask(Rank::kSecond, parts, lookup);
+  ask(Rank::kPrimary, parts, lookup);
+  ask(Rank::kSecondary, parts, lookup);
   return lookup.hints;
 }
 
@@ -57,21 +58,21 @@
   {
     const std::lock_guard<std::mutex> lock(mutex_);
     const Time now = clock_.now();
-    std::map<NodeId, std::vector<size_t>> byKeeper;
-    for (size_t index = 0; index < std::min(parts.size(), kMostPartsOfPrompt); ++index) {
+    std::map<NodeId, std::vector<size_t>> byOwner;
+    for (size_t index = 0; index < std::min(parts.size(), kMaxPartsPerPrompt); ++index) {
       if (lookup.isSettled[index]) {
         continue;
       }
-      const Keepers keepers = keepersOf(parts[index]);
-      const NodeId keeper = rank == Rank::kFirst ? keepers.first : keepers.second;
-      if (keeper == self_) {
+      const KeyOwners owners = ownersOf(parts[index]);
+      const NodeId owner = rank == Rank::kPrimary ? owners.primary : owners.secondary;
+      if (owner == self_) {
         lookup.hints[index] = memory_.find(parts[index]);
         lookup.isSettled[index] = isKnown(lookup.hints[index]) || !isNew(now);
       } else {
-        byKeeper[keeper].push_back(index);
+        byOwner[owner].push_back(index);
       }
     }
-    for (auto& [keeper, indexes] : byKeeper) {
+    for (auto& [owner, indexes] : byOwner) {
       proto::Envelope envelope;
       proto::PartQuestion& question = *envelope.mutable_part()->mutable_question();
       question.set_question_id(++lastQuestion_);
@@ -81,11 +82,11 @@
       pending_[lastQuestion_] = Pending{&lookup, std::move(indexes)};
       questions.push_back(lastQuestion_);
       ++lookup.openQuestions;
-      messages.emplace_back(keeper, std::move(envelope));
+      messages.emplace_back(owner, std::move(envelope));
     }
   }
-  for (const auto& [keeper, envelope] : messages) {
-    sender_.send(keeper, envelope);
+  for (const auto& [owner, envelope] : messages) {
+    sender_.send(owner, envelope);
   }
   std::unique_lock<std::mutex> lock(mutex_);
   answered_.wait_for(lock, kAnswerTimeout, [&] { return lookup.openQuestions == 0; });
@@ -100,23 +101,23 @@
   const Time now = clock_.now();
   {
     const std::lock_guard<std::mutex> lock(mutex_);
-    for (size_t index = 0; index < std::min(parts.size(), kMostPartsOfPrompt); ++index) {
+    for (size_t index = 0; index < std::min(parts.size(), kMaxPartsPerPrompt); ++index) {
       const PartKey part = parts[index];
-      const Keepers keepers = keepersOf(part);
-      for (const NodeId keeper : std::set<NodeId>{keepers.first, keepers.second}) {
-        if (keeper == self_) {
+      const KeyOwners owners = ownersOf(part);
+      for (const NodeId owner : std::set<NodeId>{owners.primary, owners.secondary}) {
+        if (owner == self_) {
           memory_.note(part, engine, isStored, now);
           continue;
         }
-        proto::PartNote& note = *messages[keeper].mutable_part()->mutable_note();
+        proto::PartNote& note = *messages[owner].mutable_part()->mutable_note();
         note.add_parts(part);
         note.set_engine(engine);
         note.set_stored(isStored);
       }
     }
   }
-  for (const auto& [keeper, envelope] : messages) {
-    sender_.send(keeper, envelope);
+  for (const auto& [owner, envelope] : messages) {
+    sender_.send(owner, envelope);
   }
 }
 
@@ -134,9 +135,9 @@
     proto::PartHintEntry& entry = *answer.add_hints();
     entry.set_index(static_cast<uint32_t>(index));
     entry.set_engine(hint.engine);
-    entry.set_read_age_milliseconds(inMilliseconds(now - hint.readAt));
+    entry.set_read_age_milliseconds(toMilliseconds(now - hint.readAt));
     entry.set_stored(hint.isStored);
-    entry.set_stored_age_milliseconds(inMilliseconds(now - hint.storedAt));
+    entry.set_stored_age_milliseconds(toMilliseconds(now - hint.storedAt));
   }
   sender.send(from.node, envelope);
 }
--- a/src/peers/part_directory.h
+++ b/src/peers/part_directory.h
@@ -1,10 +1,10 @@
 /// @file
-/// Where cached parts of prompts are, known to all nodes: each part has two nodes that keep its
-/// hints, found by rendezvous hashing over the living nodes. A request asks the first before it
-/// sends its prompt, and the second where the first does not answer or has not run for long; it
-/// tells both when the engine has read the part: a few short messages a request, however many nodes
-/// there are. So a node that dies or is restarted takes no hints along. Hints only: a lost or wrong
-/// one costs time.
+/// Distributed directory of the engines that have parts of prompts cached. Each part has two owners
+/// that store its hints, chosen by rendezvous hashing over the live nodes. Before a request sends
+/// its prompt it asks the primary owner, and the secondary one if the primary does not answer or
+/// has started recently. Once the engine has read the part, both owners are notified. This takes a
+/// few short messages per request, whatever the number of nodes. No hints are lost if one node dies
+/// or restarts. These are only hints: a lost or wrong one costs time, not correctness.
 #pragma once
 
 #include <condition_variable>
@@ -24,7 +24,7 @@
 /// Thread-safe.
 class PartDirectory : public Role, public gateway::PartHints {
  public:
-  /// @param sender outlives the directory; used on the threads that call find() and note().
+  /// @param sender must outlive the directory; used on the threads that call find() and note().
   PartDirectory(NodeId self, const Clock& clock, MessageSender& sender);
 
   void setMembers(std::shared_ptr<const MembershipSnapshot> members);
@@ -37,23 +37,24 @@
   void onTick(Time now, MessageSender& sender) override;
 
  private:
-  /// What one call of find() has learnt so far.
+  /// State of one call of find().
   struct Lookup {
     std::vector<gateway::PartHint> hints;
-    std::vector<bool> isSettled;  ///< By part: whether the answer stands.
+    std::vector<bool> isSettled;  ///< By part: whether the hint is final.
     size_t openQuestions = 0;
   };
-  /// One question of a lookup that waits for its answer.
+  /// A question of a lookup that is not answered yet.
   struct Pending {
     Lookup* lookup;
-    std::vector<size_t> indexes;  ///< Positions of the asked parts.
+    std::vector<size_t> indexes;  ///< Positions in the prompt of the parts asked for.
   };
-  /// Which of a part's keepers.
-  enum class Rank { kFirst, kSecond };
+  /// Which of the owners of a part.
+  enum class Rank { kPrimary, kSecondary };
 
-  Keepers keepersOf(gateway::PartKey part) const;
-  /// Asks the keepers of that rank for the parts that are not settled, and waits for them.
+  KeyOwners ownersOf(gateway::PartKey part) const;
+  /// Asks the owners of that rank for the parts that are not settled, and waits for the answers.
   void ask(Rank rank, const std::vector<gateway::PartKey>& parts, Lookup& lookup);
+  /// @return whether this node started too recently to know all hints of its parts.
   bool isNew(Time now) const;
   void onQuestion(NodeLife from, const proto::PartQuestion& question, Time now,
                   MessageSender& sender);
--- a/src/peers/peer_plane.cpp
+++ b/src/peers/peer_plane.cpp
@@ -11,8 +11,8 @@
 namespace {
 
 constexpr Duration kTickInterval{100000};
-/// Rebinding the address of a former incarnation is tried again after this.
-constexpr Duration kRebindPause{100000};
+/// Delay before binding the address of the previous incarnation is retried.
+constexpr Duration kRebindDelay{100000};
 
 }  // namespace
 
@@ -39,14 +39,14 @@
       loads_(nodeIdOf(options_.listen), clock, *this, &backends),
       limits_(nodeIdOf(options_.listen), clock, *this, options_.knobs),
       quarantine_(nodeIdOf(options_.listen), clock, *this, quarantined),
-      life_(makeLife(static_cast<uint64_t>(clock.wallMicroseconds()))) {}
+      incarnation_(makeIncarnation(static_cast<uint64_t>(clock.wallMicroseconds()))) {}
 
 PeerPlane::~PeerPlane() {
   stop();
 }
 
-std::shared_ptr<PeerPlane::Life> PeerPlane::makeLife(uint64_t incarnation) {
-  auto made = std::make_shared<Life>();
+std::shared_ptr<PeerPlane::IncarnationState> PeerPlane::makeIncarnation(uint64_t incarnation) {
+  auto made = std::make_shared<IncarnationState>();
   MembershipSettings settings;
   settings.self.life = NodeLife{nodeIdOf(options_.listen), Incarnation(incarnation)};
   settings.self.zone = options_.zone;
@@ -67,14 +67,14 @@
   return made;
 }
 
-std::shared_ptr<PeerPlane::Life> PeerPlane::life() const {
+std::shared_ptr<PeerPlane::IncarnationState> PeerPlane::currentIncarnation() const {
   const std::lock_guard<std::mutex> lock(mutex_);
-  return life_;
+  return incarnation_;
 }
 
 void PeerPlane::deliver(NodeLife from, const proto::Envelope& envelope) {
   const Time now = clock_.now();
-  const std::shared_ptr<Life> current = life();
+  const std::shared_ptr<IncarnationState> current = currentIncarnation();
   if (current == nullptr) {
     return;
   }
@@ -94,7 +94,7 @@
 }
 
 void PeerPlane::start() {
-  life()->transport->start(
+  currentIncarnation()->transport->start(
       [this](NodeLife from, const proto::Envelope& envelope) { deliver(from, envelope); });
   thread_ = std::thread([this] { run(); });
 }
@@ -106,7 +106,7 @@
   if (thread_.joinable()) {
     thread_.join();
   }
-  if (const std::shared_ptr<Life> current = life()) {
+  if (const std::shared_ptr<IncarnationState> current = currentIncarnation()) {
     current->membership->leave(*current->transport);
     current->transport->stop();
   }
@@ -117,43 +117,43 @@
 }
 
 size_t PeerPlane::memberCount() const {
-  const std::shared_ptr<Life> current = life();
+  const std::shared_ptr<IncarnationState> current = currentIncarnation();
   return current == nullptr ? 1 : current->membership->snapshot()->members.size();
 }
 
 uint64_t PeerPlane::bytesSent() const {
-  const std::shared_ptr<Life> current = life();
+  const std::shared_ptr<IncarnationState> current = currentIncarnation();
   return current == nullptr ? 0 : current->transport->counters().bytesSent.load();
 }
 
 uint64_t PeerPlane::bytesReceived() const {
-  const std::shared_ptr<Life> current = life();
+  const std::shared_ptr<IncarnationState> current = currentIncarnation();
   return current == nullptr ? 0 : current->transport->counters().bytesReceived.load();
 }
 
 MemberCounts PeerPlane::memberCounts() const {
-  const std::shared_ptr<Life> current = life();
+  const std::shared_ptr<IncarnationState> current = currentIncarnation();
   return current == nullptr ? MemberCounts{} : countMembers(*current->membership->snapshot());
 }
 
 void PeerPlane::send(NodeId to, const proto::Envelope& envelope) {
-  if (const std::shared_ptr<Life> current = life()) {
+  if (const std::shared_ptr<IncarnationState> current = currentIncarnation()) {
     current->transport->send(to, envelope);
   }
 }
 
 size_t PeerPlane::waitingBytes(NodeId to) const {
-  const std::shared_ptr<Life> current = life();
+  const std::shared_ptr<IncarnationState> current = currentIncarnation();
   return current == nullptr ? 0 : current->transport->waitingBytes(to);
 }
 
 size_t PeerPlane::waitingBytes() const {
-  const std::shared_ptr<Life> current = life();
+  const std::shared_ptr<IncarnationState> current = currentIncarnation();
   return current == nullptr ? 0 : current->transport->waitingBytes();
 }
 
 void PeerPlane::tick() {
-  const std::shared_ptr<Life> current = life();
+  const std::shared_ptr<IncarnationState> current = currentIncarnation();
   const Time now = clock_.now();
   if (draining_) {
     current->membership->setDraining(true);
@@ -170,28 +170,30 @@
   quarantine_.setMembers(snapshot);
   quarantine_.onTick(now, *current->transport);
   mirrorRole_.onTick(now, *current->transport);
-  const std::optional<Incarnation> greater = current->membership->supersededBy();
-  if (!greater) {
+  const std::optional<Incarnation> newerIncarnation = current->membership->supersededBy();
+  if (!newerIncarnation) {
     return;
   }
-  // This node's clock went back between two of its lives: take a greater incarnation.
-  logWarning("peers: a later life of this node is remembered; starting anew above it");
+  // This node's clock went back between two incarnations: switch to a greater one.
+  logWarning(
+      "peers: a later life of this node is remembered; restarting membership with a greater "
+      "incarnation");
   current->transport->stop();
   {
     const std::lock_guard<std::mutex> lock(mutex_);
-    life_.reset();
+    incarnation_.reset();
   }
-  const uint64_t incarnation = greater->value() + 1;
+  const uint64_t incarnation = newerIncarnation->value() + 1;
   while (!stopping_) {
     try {
-      const std::shared_ptr<Life> next = makeLife(incarnation);
+      const std::shared_ptr<IncarnationState> next = makeIncarnation(incarnation);
       next->transport->start(
           [this](NodeLife from, const proto::Envelope& envelope) { deliver(from, envelope); });
       const std::lock_guard<std::mutex> lock(mutex_);
-      life_ = next;
+      incarnation_ = next;
       return;
     } catch (const Poco::Exception&) {
-      std::this_thread::sleep_for(kRebindPause);
+      std::this_thread::sleep_for(kRebindDelay);
     }
   }
 }
--- a/src/peers/peer_plane.h
+++ b/src/peers/peer_plane.h
@@ -1,6 +1,7 @@
 /// @file
-/// The threads and sockets between this node and the others: membership, the relay of the mirrored
-/// state, hints of cached parts, the load of engines, limits, and requests that crash engines.
+/// Owns the threads and sockets for messages between nodes, and dispatches the messages to
+/// membership, state replication, the directories of cached parts and engine loads, rate limits,
+/// and the quarantine of requests that crash engines.
 #pragma once
 
 #include <atomic>
@@ -25,30 +26,30 @@
 namespace fernmoor::peers {
 
 struct PeerOptions {
-  SocketAddress listen;  ///< Where other nodes reach this one, by UDP and TCP.
+  SocketAddress listen;  ///< Address of this node for other nodes, UDP and TCP.
   ZoneId zone;
   RegionId region;
-  std::vector<SocketAddress> seeds;  ///< Nodes that may be up.
+  std::vector<SocketAddress> seeds;  ///< Nodes to contact when joining; some may be down.
   std::string clusterKey;            ///< Shared by all nodes of the deployment.
   uint64_t randomSeed = 0;
   uint32_t linkMegabits = 0;  ///< Bandwidth of this node's own link in Mbit/s; 0: unknown.
   Knobs knobs;
 };
 
-/// @return the id of the node at an address: its IPv4 number. 0 where it is none.
+/// @return the id of the node at an address: its IPv4 address as a number; 0 if it is not IPv4.
 NodeId nodeIdOf(const SocketAddress& address);
 
 /// Thread-safe.
 class PeerPlane : public MessageSender {
  public:
-  /// Binds the address. Throws Poco::Net::NetException where it is in use.
+  /// Binds the address. Throws Poco::Net::NetException if it is in use.
   PeerPlane(PeerOptions options, const Clock& clock, StateMirror& mirror, WantedWeights& wanted,
             RevisionTimes& revisionTimes, quarantine::QuarantineTable& quarantined,
             BackendSet& backends);
   ~PeerPlane() override;
 
   void start();
-  /// Tells the others that this node stops, and ends the threads. Idempotent.
+  /// Notifies the other nodes that this one leaves, and joins the threads. Idempotent.
   void stop();
   void setDraining();
 
@@ -57,10 +58,11 @@
   LoadDirectory& loads() { return loads_; }
   LimitDirectory& limits() { return limits_; }
   QuarantineDirectory& quarantine() { return quarantine_; }
-  /// @return members that are not held dead, this node included.
+  /// @return number of members that are not considered dead, including this node.
   size_t memberCount() const;
   MemberCounts memberCounts() const;
-  /// Bytes between nodes in this incarnation, those of the wire format included.
+  /// Bytes exchanged with other nodes in this incarnation, including the overhead of the wire
+  /// format.
   uint64_t bytesSent() const;
   uint64_t bytesReceived() const;
 
@@ -69,14 +71,14 @@
   size_t waitingBytes() const override;
 
  private:
-  /// What belongs to one incarnation of this node.
-  struct Life {
+  /// State of one incarnation of this node.
+  struct IncarnationState {
     std::unique_ptr<MembershipRole> membership;
     std::unique_ptr<PeerTransport> transport;
   };
 
-  std::shared_ptr<Life> makeLife(uint64_t incarnation);
-  std::shared_ptr<Life> life() const;
+  std::shared_ptr<IncarnationState> makeIncarnation(uint64_t incarnation);
+  std::shared_ptr<IncarnationState> currentIncarnation() const;
   void deliver(NodeLife from, const proto::Envelope& envelope);
   void run();
   void tick();
@@ -89,7 +91,7 @@
   LimitDirectory limits_;
   QuarantineDirectory quarantine_;
   mutable std::mutex mutex_;
-  std::shared_ptr<Life> life_;
+  std::shared_ptr<IncarnationState> incarnation_;
   std::atomic<bool> stopping_{false};
   std::atomic<bool> draining_{false};
   std::thread thread_;
--- a/src/peers/quarantine_directory.cpp
+++ b/src/peers/quarantine_directory.cpp
@@ -13,73 +13,75 @@
 using quarantine::Quarantined;
 using quarantine::Suspicion;
 
-/// Objections come within a trip and back between regions, 40 ms, and the tick of a busy node.
+/// Objections arrive within a round trip between regions, 40 ms, plus the tick of a busy node.
 constexpr Duration kObjectionTime{250000};
-/// Beside it a proposer needs a tick, 100 ms, to decide. A verdict that is lost is told again
+/// Includes a tick, 100 ms, that the proposer needs to decide. A verdict that is lost is sent again
 /// later.
 constexpr Duration kHoldTime = kObjectionTime + Duration(100000);
-/// After a crash its own node holds the request until those that count can have answered with a
-/// proposal: a trip and back between regions, 40 ms.
+/// After a crash, the node that ran the request holds it until the owners can have answered with a
+/// proposal: a round trip between regions, 40 ms.
 constexpr Duration kReportTime{50000};
-/// Nodes that count for one request.
-constexpr size_t kNodesThatCount = 2;
-/// Bound on what is handed over at a change of the members, the newest first, and how often: 16
+/// Owner nodes of one request.
+constexpr size_t kOwnersPerRequest = 2;
+/// Limits the requests that are handed over at a change of the members, the newest first, to 16
 /// messages of 1 kB to each of two nodes.
-constexpr size_t kMostHandedOver = 512;
-constexpr size_t kReportsInMessage = 32;
-constexpr Duration kHandOverPause{500000};
-/// A rival may be proposed by another node as long as its own objections are awaited.
-constexpr Duration kRivalMemory{1000000};
-/// A verdict is told so often, with this pause: together well within the least bound by which nodes
-/// must know of it, 3 s.
-constexpr int kTellings = 3;
-constexpr Duration kTellAgain{400000};
-/// A node is told of unstored verdicts by this many others a second in the mean: one in 20 waits
-/// for more than a second, one in 400 for more than two.
-constexpr size_t kToldEachTime = 3;
-constexpr Duration kTellUnstored{1000000};
-/// Nodes that put a verdict into the store, each so much later than the one before it, where that
-/// has not: the store may turn some nodes away, and must not be asked by all while it is away.
-constexpr size_t kNodesThatStore = 4;
-constexpr Duration kNextStores{700000};
-
-void putRun(const CrashedRun& run, Time now, proto::CrashedRun& out) {
+constexpr size_t kMaxHandedOverRequests = 512;
+constexpr size_t kMaxReportsPerMessage = 32;
+/// Minimum interval between two handovers.
+constexpr Duration kHandOverInterval{500000};
+/// Another node may propose a rival for as long as it waits for objections to it.
+constexpr Duration kProposalRetention{1000000};
+/// Number of times that a verdict is broadcast, and the interval. In total this is well within 3 s,
+/// the shortest bound by which nodes must know a verdict.
+constexpr int kVerdictBroadcasts = 3;
+constexpr Duration kVerdictInterval{400000};
+/// Mean number of other nodes from which a node receives each unstored verdict per second: one node
+/// in 20 waits for more than a second, one in 400 for more than two.
+constexpr size_t kUnstoredFanout = 3;
+constexpr Duration kUnstoredInterval{1000000};
+/// Nodes that may write a verdict to the store. Each of them waits kStoreWriterDelay longer than
+/// the one before it, and writes only if the verdict is still missing: the store may reject some
+/// nodes, and must not get calls from all nodes while it is unavailable.
+constexpr size_t kStoreWriters = 4;
+constexpr Duration kStoreWriterDelay{700000};
+
+void encodeRun(const CrashedRun& run, Time now, proto::CrashedRun& out) {
   out.set_incarnation(run.incarnation);
-  out.set_began_age_milliseconds(inMilliseconds(now - run.beganAt));
-  out.set_ended_age_milliseconds(inMilliseconds(now - run.endedAt));
+  out.set_began_age_milliseconds(toMilliseconds(now - run.beganAt));
+  out.set_ended_age_milliseconds(toMilliseconds(now - run.endedAt));
   out.set_start_known(run.startKnown);
 }
 
-CrashedRun takeRun(const proto::CrashedRun& run, Time now) {
+CrashedRun decodeRun(const proto::CrashedRun& run, Time now) {
   return CrashedRun{
       run.incarnation(), now - std::chrono::milliseconds(run.began_age_milliseconds()),
       now - std::chrono::milliseconds(run.ended_age_milliseconds()), run.start_known()};
 }
 
-/// @tparam Message a proposal or a verdict.
+/// @tparam Message a proposal, a verdict or a report.
 template <class Message>
-Suspicion takeSuspicion(const Message& message, Time now) {
+Suspicion decodeSuspicion(const Message& message, Time now) {
   Suspicion suspicion;
   suspicion.fingerprint = message.fingerprint();
   for (const proto::CrashedRun& run : message.runs()) {
-    suspicion.runs.push_back(takeRun(run, now));
+    suspicion.runs.push_back(decodeRun(run, now));
   }
   return suspicion;
 }
 
 template <class Message>
-void putSuspicion(const Suspicion& suspicion, Time now, Message& message) {
+void encodeSuspicion(const Suspicion& suspicion, Time now, Message& message) {
   message.set_fingerprint(suspicion.fingerprint);
   for (const CrashedRun& run : suspicion.runs) {
-    putRun(run, now, *message.add_runs());
+    encodeRun(run, now, *message.add_runs());
   }
 }
 
-proto::Envelope verdictOf(const Suspicion& suspicion, Time since, Time now) {
+proto::Envelope makeVerdict(const Suspicion& suspicion, Time since, Time now) {
   proto::Envelope envelope;
   proto::QuarantineVerdict& verdict = *envelope.mutable_quarantine()->mutable_verdict();
-  putSuspicion(suspicion, now, verdict);
-  verdict.set_age_milliseconds(inMilliseconds(now - since));
+  encodeSuspicion(suspicion, now, verdict);
+  verdict.set_age_milliseconds(toMilliseconds(now - since));
   return envelope;
 }
 
@@ -98,14 +100,14 @@
 void QuarantineDirectory::setMembers(std::shared_ptr<const MembershipSnapshot> members) {
   const std::lock_guard<std::mutex> lock(mutex_);
   members_ = std::move(members);
-  std::vector<NodeId> counting = countingNodes();
-  if (counting != counting_) {
-    counting_ = std::move(counting);
+  std::vector<NodeId> candidates = ownerCandidates();
+  if (candidates != ownerCandidates_) {
+    ownerCandidates_ = std::move(candidates);
     mustHandOver_ = true;
   }
 }
 
-std::vector<NodeId> QuarantineDirectory::countingNodes() const {
+std::vector<NodeId> QuarantineDirectory::ownerCandidates() const {
   std::vector<NodeId> nodes;
   for (const Member& member : members_ == nullptr ? std::vector<Member>() : members_->members) {
     if (member.state == MemberState::kAlive) {
@@ -146,7 +148,7 @@
 
 void QuarantineDirectory::awaitDecision(uint64_t fingerprint) {
   if (!holdsAny_) {
-    return;  // Nearly always: no lock is taken on the request path.
+    return;  // The usual case; avoids taking a lock on the request path.
   }
   std::unique_lock<std::mutex> lock(mutex_);
   for (Time now = clock_.now(); isHeldAt(fingerprint, now); now = clock_.now()) {
@@ -158,7 +160,7 @@
   return table_.timeLeft(fingerprint, clock_.now());
 }
 
-void QuarantineDirectory::tellAll(const proto::Envelope& envelope, Outbox& outbox) const {
+void QuarantineDirectory::broadcast(const proto::Envelope& envelope, Outbox& outbox) const {
   if (members_ == nullptr) {
     return;
   }
@@ -169,7 +171,7 @@
   }
 }
 
-void QuarantineDirectory::accept(const Suspicion& suspicion, Time since, Time now) {
+void QuarantineDirectory::applyVerdict(const Suspicion& suspicion, Time since, Time now) {
   if (table_.add(Quarantined{suspicion.fingerprint, since}, now)) {
     logWarning("quarantine: a request crashed several engines and is not sent any more",
                fingerprintField(suspicion.fingerprint));
@@ -181,12 +183,12 @@
   endHold(suspicion.fingerprint);
 }
 
-void QuarantineDirectory::withdrawRivals(const Suspicion& other) {
+void QuarantineDirectory::withdrawRivalProposals(const Suspicion& other) {
   for (auto proposal = proposals_.begin(); proposal != proposals_.end();) {
     const Suspicion& own = proposal->second.suspicion;
-    const bool isRival = own.fingerprint != other.fingerprint && own.sharesEndWith(other) &&
+    const bool isRival = own.fingerprint != other.fingerprint && own.sharesCrashWith(other) &&
                          other.runs.size() >= own.runs.size();
-    const bool isWithdrawn = isRival && evidence_.demandOneMore(own.fingerprint);
+    const bool isWithdrawn = isRival && evidence_.requireOneMoreCrash(own.fingerprint);
     if (isWithdrawn) {
       endHold(own.fingerprint);
     }
@@ -194,11 +196,12 @@
   }
 }
 
-void QuarantineDirectory::forgetHeard(Time now) {
-  heard_.erase(
-      std::remove_if(heard_.begin(), heard_.end(),
-                     [&](const HeardProposal& each) { return now - each.at > kRivalMemory; }),
-      heard_.end());
+void QuarantineDirectory::forgetOldProposals(Time now) {
+  recentProposals_.erase(std::remove_if(recentProposals_.begin(), recentProposals_.end(),
+                                        [&](const RecentProposal& each) {
+                                          return now - each.at > kProposalRetention;
+                                        }),
+                         recentProposals_.end());
 }
 
 void QuarantineDirectory::propose(Suspicion suspicion, Time now, Outbox& outbox) {
@@ -211,16 +214,16 @@
   }
   logInfo("quarantine: proposed", fingerprintField(suspicion.fingerprint));
   proto::Envelope envelope;
-  putSuspicion(suspicion, now, *envelope.mutable_quarantine()->mutable_proposal());
-  tellAll(envelope, outbox);
+  encodeSuspicion(suspicion, now, *envelope.mutable_quarantine()->mutable_proposal());
+  broadcast(envelope, outbox);
   proposals_[suspicion.fingerprint] = Proposal{suspicion, now + kObjectionTime};
   hold(suspicion.fingerprint, now + kHoldTime);
-  forgetHeard(now);
-  for (const HeardProposal& heard : heard_) {
-    withdrawRivals(heard.suspicion);
+  forgetOldProposals(now);
+  for (const RecentProposal& heard : recentProposals_) {
+    withdrawRivalProposals(heard.suspicion);
   }
-  withdrawRivals(suspicion);
-  heard_.push_back(HeardProposal{std::move(suspicion), now});
+  withdrawRivalProposals(suspicion);
+  recentProposals_.push_back(RecentProposal{std::move(suspicion), now});
 }
 
 void QuarantineDirectory::count(uint64_t fingerprint, const CrashedRun& run, Time now,
@@ -237,17 +240,18 @@
   {
     const std::lock_guard<std::mutex> lock(mutex_);
     if (table_.timeLeft(fingerprint, now)) {
-      // It was under way when the verdict came: this end is explained too.
+      // The request was running when the verdict arrived, which explains this crash too.
       const Suspicion explained{fingerprint, {run}};
       evidence_.explain(fingerprint, explained.runs);
-      tellAll(verdictOf(explained, now, now), outbox);
+      broadcast(makeVerdict(explained, now, now), outbox);
     } else {
       count(fingerprint, run, now, outbox);
       hold(fingerprint, now + kReportTime);
       proto::Envelope envelope;
-      putSuspicion(Suspicion{fingerprint, {run}}, now,
-                   *envelope.mutable_quarantine()->mutable_reports()->add_requests());
-      for (const NodeId node : rendezvousTop(fingerprint, counting_, kNodesThatCount, nodeHash)) {
+      encodeSuspicion(Suspicion{fingerprint, {run}}, now,
+                      *envelope.mutable_quarantine()->mutable_reports()->add_requests());
+      for (const NodeId node :
+           rendezvousTop(fingerprint, ownerCandidates_, kOwnersPerRequest, nodeHash)) {
         if (node != self_) {
           outbox.emplace_back(node, envelope);
         }
@@ -270,9 +274,9 @@
 
 size_t QuarantineDirectory::storeRank(uint64_t fingerprint) const {
   const std::vector<NodeId> first =
-      rendezvousTop(fingerprint, counting_, kNodesThatStore, nodeHash);
+      rendezvousTop(fingerprint, ownerCandidates_, kStoreWriters, nodeHash);
   const auto own = std::find(first.begin(), first.end(), self_);
-  return own == first.end() ? kNodesThatStore : static_cast<size_t>(own - first.begin());
+  return own == first.end() ? kStoreWriters : static_cast<size_t>(own - first.begin());
 }
 
 bool QuarantineDirectory::isFirstToStore(uint64_t fingerprint) const {
@@ -283,15 +287,15 @@
 std::vector<Quarantined> QuarantineDirectory::toStore(Time now) const {
   std::vector<Quarantined> due = table_.unstored(now);
   const std::lock_guard<std::mutex> lock(mutex_);
-  const auto isOthers = [&](const Quarantined& request) {
+  const auto isNotDue = [&](const Quarantined& request) {
     const size_t rank = storeRank(request.fingerprint);
-    return rank >= kNodesThatStore || now - request.since < kNextStores * rank;
+    return rank >= kStoreWriters || now - request.since < kStoreWriterDelay * rank;
   };
-  due.erase(std::remove_if(due.begin(), due.end(), isOthers), due.end());
+  due.erase(std::remove_if(due.begin(), due.end(), isNotDue), due.end());
   return due;
 }
 
-void QuarantineDirectory::takeReport(const Suspicion& report, Time now, Outbox& outbox) {
+void QuarantineDirectory::onReport(const Suspicion& report, Time now, Outbox& outbox) {
   if (table_.timeLeft(report.fingerprint, now)) {
     return;
   }
@@ -305,19 +309,19 @@
     return;
   }
   mustHandOver_ = false;
-  nextHandOverAt_ = now + kHandOverPause;
+  nextHandOverAt_ = now + kHandOverInterval;
   std::map<NodeId, proto::Envelope> messages;
   const auto send = [&](NodeId node, const proto::Envelope& envelope) {
     if (node != self_) {
       outbox.emplace_back(node, envelope);
     }
   };
-  for (const Suspicion& suspect : evidence_.newest(kMostHandedOver)) {
+  for (const Suspicion& suspect : evidence_.newest(kMaxHandedOverRequests)) {
     for (const NodeId node :
-         rendezvousTop(suspect.fingerprint, counting_, kNodesThatCount, nodeHash)) {
+         rendezvousTop(suspect.fingerprint, ownerCandidates_, kOwnersPerRequest, nodeHash)) {
       proto::CrashReports& reports = *messages[node].mutable_quarantine()->mutable_reports();
-      putSuspicion(suspect, now, *reports.add_requests());
-      if (static_cast<size_t>(reports.requests_size()) >= kReportsInMessage) {
+      encodeSuspicion(suspect, now, *reports.add_requests());
+      if (static_cast<size_t>(reports.requests_size()) >= kMaxReportsPerMessage) {
         send(node, messages[node]);
         messages.erase(node);
       }
@@ -330,7 +334,7 @@
 
 void QuarantineDirectory::onProposal(NodeId from, const proto::QuarantineProposal& proposal,
                                      Time now, Outbox& outbox) {
-  const Suspicion suspicion = takeSuspicion(proposal, now);
+  const Suspicion suspicion = decodeSuspicion(proposal, now);
   if (suspicion.runs.empty()) {
     return;
   }
@@ -342,14 +346,14 @@
     return;
   }
   hold(suspicion.fingerprint, now + kHoldTime);
-  withdrawRivals(suspicion);
-  forgetHeard(now);
-  heard_.push_back(HeardProposal{suspicion, now});
+  withdrawRivalProposals(suspicion);
+  forgetOldProposals(now);
+  recentProposals_.push_back(RecentProposal{suspicion, now});
 }
 
 void QuarantineDirectory::onVerdict(const proto::QuarantineVerdict& verdict, Time now) {
-  accept(takeSuspicion(verdict, now), now - std::chrono::milliseconds(verdict.age_milliseconds()),
-         now);
+  applyVerdict(decodeSuspicion(verdict, now),
+               now - std::chrono::milliseconds(verdict.age_milliseconds()), now);
 }
 
 void QuarantineDirectory::onMessage(NodeLife from, const proto::Envelope& envelope, Time now,
@@ -360,7 +364,7 @@
     const std::lock_guard<std::mutex> lock(mutex_);
     if (message.has_reports()) {
       for (const proto::CrashReport& report : message.reports().requests()) {
-        takeReport(takeSuspicion(report, now), now, outbox);
+        onReport(decodeSuspicion(report, now), now, outbox);
       }
     } else if (message.has_proposal()) {
       onProposal(from.node, message.proposal(), now, outbox);
@@ -377,15 +381,15 @@
   }
 }
 
-void QuarantineDirectory::tellUnstored(Time now, Outbox& outbox) {
+void QuarantineDirectory::sendUnstoredVerdicts(Time now, Outbox& outbox) {
   if (now < nextUnstoredAt_ || members_ == nullptr || members_->members.empty()) {
     return;
   }
-  nextUnstoredAt_ = now + kTellUnstored;
+  nextUnstoredAt_ = now + kUnstoredInterval;
   for (const Quarantined& request : table_.unstored(now)) {
     const proto::Envelope envelope =
-        verdictOf(Suspicion{request.fingerprint, {}}, request.since, now);
-    for (size_t told = 0; told < kToldEachTime; ++told) {
+        makeVerdict(Suspicion{request.fingerprint, {}}, request.since, now);
+    for (size_t sent = 0; sent < kUnstoredFanout; ++sent) {
       const NodeId node = members_->members[random_.below(members_->members.size())].life.node;
       if (node != self_) {
         outbox.emplace_back(node, envelope);
@@ -394,7 +398,7 @@
   }
 }
 
-void QuarantineDirectory::decide(Time now) {
+void QuarantineDirectory::decideDueProposals(Time now) {
   std::vector<Suspicion> due;
   for (const auto& [fingerprint, proposal] : proposals_) {
     if (now >= proposal.decideAt) {
@@ -402,15 +406,15 @@
     }
   }
   for (const Suspicion& suspicion : due) {
-    // Another verdict may have explained some of the ends meanwhile; requests that always come
-    // together can't explain each other's.
-    const bool stands = suspicion.runs.size() >= quarantine::CrashEvidence::kMostEndsNeeded ||
+    // Another verdict may have explained some of the crashes meanwhile. Requests that always come
+    // together can't explain each other's crashes.
+    const bool stands = suspicion.runs.size() >= quarantine::CrashEvidence::kMaxCrashesNeeded ||
                         evidence_.suspicionOf(suspicion.fingerprint).has_value();
     proposals_.erase(suspicion.fingerprint);
     endHold(suspicion.fingerprint);
     if (stands) {
-      accept(suspicion, now, now);
-      tellings_.push_back(Telling{suspicion, now, kTellings, now});
+      applyVerdict(suspicion, now, now);
+      verdictBroadcasts_.push_back(VerdictBroadcast{suspicion, now, kVerdictBroadcasts, now});
     }
   }
 }
@@ -419,20 +423,21 @@
   Outbox outbox;
   {
     const std::lock_guard<std::mutex> lock(mutex_);
-    tellUnstored(now, outbox);
+    sendUnstoredVerdicts(now, outbox);
     handOver(now, outbox);
     forgetHolds(now);
-    decide(now);
-    for (Telling& telling : tellings_) {
-      if (now >= telling.nextAt) {
-        tellAll(verdictOf(telling.suspicion, telling.since, now), outbox);
-        telling.nextAt = now + kTellAgain;
-        --telling.left;
+    decideDueProposals(now);
+    for (VerdictBroadcast& verdictBroadcast : verdictBroadcasts_) {
+      if (now >= verdictBroadcast.nextAt) {
+        broadcast(makeVerdict(verdictBroadcast.suspicion, verdictBroadcast.since, now), outbox);
+        verdictBroadcast.nextAt = now + kVerdictInterval;
+        --verdictBroadcast.remaining;
       }
     }
-    tellings_.erase(std::remove_if(tellings_.begin(), tellings_.end(),
-                                   [](const Telling& each) { return each.left == 0; }),
-                    tellings_.end());
+    verdictBroadcasts_.erase(
+        std::remove_if(verdictBroadcasts_.begin(), verdictBroadcasts_.end(),
+                       [](const VerdictBroadcast& each) { return each.remaining == 0; }),
+        verdictBroadcasts_.end());
   }
   for (const auto& [node, envelope] : outbox) {
     sender.send(node, envelope);
--- a/src/peers/quarantine_directory.h
+++ b/src/peers/quarantine_directory.h
@@ -1,17 +1,18 @@
 /// @file
-/// Requests that crash engines, found by all nodes together. A run that ended with its engine is
-/// told to the two nodes that count for that request (rendezvous hashing over the nodes that don't
-/// stop), and counted by the node that saw it too; where the members change, all tell the nodes
-/// that count from then on. Whoever finds a request suspected proposes to quarantine it; nodes that
-/// know it served since its first crash object, and two requests that were at the same ends wait
-/// for a further one that tells them apart. Nodes hold the request meanwhile. A proposal without
-/// objection becomes a verdict, which all nodes are told; the ends of engines that it explains
-/// count against nobody else.
+/// Distributed detection of requests that crash engines. When an engine crashes, each request that
+/// it was running is reported to the two owner nodes of that request, chosen by rendezvous hashing
+/// over the nodes that are not draining, and also counted by the reporting node itself. When the
+/// members change, all nodes hand over their reports to the new owners. A node that suspects a
+/// request proposes to quarantine it. Nodes that know the request was served since its first crash
+/// object; two requests that were running at the same crashes wait for a further crash that tells
+/// them apart. Nodes hold the request meanwhile. A proposal without objection becomes a verdict,
+/// which is sent to all nodes, and the crashes that it explains no longer count against other
+/// requests.
 ///
-/// Verdicts reach nodes that are cut off now, or not yet started, through the operators' store and
-/// the mirror of it (quarantine/quarantine_table.h). Until a verdict lies in the store, each node
-/// that knows it tells some others each second: all may be stopped and started in turn while the
-/// store is away.
+/// Verdicts reach nodes that are partitioned off or not yet started through the operators' store
+/// and its mirror (quarantine/quarantine_table.h). Until a verdict is stored, each node that knows
+/// it sends it to some other nodes every second, because all nodes may be restarted in turn while
+/// the store is unavailable.
 #pragma once
 
 #include <atomic>
@@ -36,7 +37,7 @@
 /// Thread-safe.
 class QuarantineDirectory : public Role, public gateway::RequestQuarantine {
  public:
-  /// @param table, sender outlive the directory; the sender is used on the threads that call
+  /// @param table, sender must outlive the directory; the sender is used on the threads that call
   ///        noteCrash().
   QuarantineDirectory(NodeId self, const Clock& clock, MessageSender& sender,
                       quarantine::QuarantineTable& table);
@@ -48,12 +49,11 @@
   void noteCrash(uint64_t fingerprint, const quarantine::CrashedRun& run) override;
   void noteServed(uint64_t fingerprint) override;
 
-  /// @return whether this node is the first of those that put a verdict on the request into the
-  /// store.
+  /// @return whether this node is the first that writes a verdict on the request to the store.
   bool isFirstToStore(uint64_t fingerprint) const;
-  /// @return whether requests like this wait for a decision now.
+  /// @return whether requests with this fingerprint are held until a decision.
   bool isHeld(uint64_t fingerprint) const;
-  /// @return verdicts that this node has to put into the store now.
+  /// @return verdicts that this node must write to the store now.
   std::vector<quarantine::Quarantined> toStore(Time now) const;
 
   void onMessage(NodeLife from, const proto::Envelope& envelope, Time now,
@@ -61,50 +61,54 @@
   void onTick(Time now, MessageSender& sender) override;
 
  private:
-  /// Messages to be sent when the lock is given up.
+  /// Messages to send after the lock is released.
   using Outbox = std::vector<std::pair<NodeId, proto::Envelope>>;
   struct Proposal {
     quarantine::Suspicion suspicion;
     Time decideAt;
   };
-  /// A proposal of any node, which may be a rival to one of this node's.
-  struct HeardProposal {
+  /// A recent proposal of any node, which may rival one of this node.
+  struct RecentProposal {
     quarantine::Suspicion suspicion;
     Time at;
   };
-  /// A verdict that is told again, as messages may be lost.
-  struct Telling {
+  /// A verdict that is sent several times, because messages may be lost.
+  struct VerdictBroadcast {
     quarantine::Suspicion suspicion;
     Time since;
-    int left = 0;
+    int remaining = 0;
     Time nextAt;
   };
 
   // All of these: call with the lock held.
-  /// @return its place among the nodes that put the verdict into the store; their number: none.
+  /// @return the rank of this node among those that write the verdict to the store; their number if
+  /// it
+  ///         is not one of them.
   size_t storeRank(uint64_t fingerprint) const;
   void count(uint64_t fingerprint, const quarantine::CrashedRun& run, Time now, Outbox& outbox);
   void propose(quarantine::Suspicion suspicion, Time now, Outbox& outbox);
-  /// Withdraws proposals of this node that the ends told here do not tell apart from the other.
-  void withdrawRivals(const quarantine::Suspicion& other);
-  void accept(const quarantine::Suspicion& suspicion, Time since, Time now);
-  /// Tells a few nodes of verdicts that don't lie in the store yet.
-  void tellUnstored(Time now, Outbox& outbox);
-  void tellAll(const proto::Envelope& envelope, Outbox& outbox) const;
-  void forgetHeard(Time now);
-  /// Turns proposals of this node whose time for objections is over into verdicts.
-  void decide(Time now);
-  /// Nodes that count for requests: those that neither stop nor are suspected; this one, if there
-  /// is none.
-  std::vector<NodeId> countingNodes() const;
-  /// Tells the nodes that count now what was held here: others may have counted before.
+  /// Withdraws proposals of this node whose crashes do not tell them apart from the other
+  /// suspicion.
+  void withdrawRivalProposals(const quarantine::Suspicion& other);
+  void applyVerdict(const quarantine::Suspicion& suspicion, Time since, Time now);
+  /// Sends the verdicts that are not in the store yet to a few nodes.
+  void sendUnstoredVerdicts(Time now, Outbox& outbox);
+  void broadcast(const proto::Envelope& envelope, Outbox& outbox) const;
+  void forgetOldProposals(Time now);
+  /// Turns proposals of this node into verdicts once the time for objections is over.
+  void decideDueProposals(Time now);
+  /// @return nodes that may own requests: those that are neither draining nor suspected; only this
+  /// one
+  ///         if there are none.
+  std::vector<NodeId> ownerCandidates() const;
+  /// Sends the evidence held here to the current owners, which may have changed.
   void handOver(Time now, Outbox& outbox);
   bool isHeldAt(uint64_t fingerprint, Time now) const;
   void hold(uint64_t fingerprint, Time until);
   void endHold(uint64_t fingerprint);
   void forgetHolds(Time now);
 
-  void takeReport(const quarantine::Suspicion& report, Time now, Outbox& outbox);
+  void onReport(const quarantine::Suspicion& report, Time now, Outbox& outbox);
   void onProposal(NodeId from, const proto::QuarantineProposal& proposal, Time now, Outbox& outbox);
   void onVerdict(const proto::QuarantineVerdict& verdict, Time now);
 
@@ -117,14 +121,14 @@
   quarantine::CrashEvidence evidence_;
   quarantine::ServedMemory served_;
   std::map<uint64_t, Proposal> proposals_;  ///< Of this node.
-  std::map<uint64_t, Time> heldUntil_;      ///< Requests on which a verdict may come.
+  std::map<uint64_t, Time> heldUntil_;      ///< Held requests, for which a verdict may arrive.
   std::atomic<bool> holdsAny_{false};       ///< `heldUntil_` isn't empty.
   std::condition_variable holdEnded_;
-  std::vector<NodeId> counting_;
+  std::vector<NodeId> ownerCandidates_;
   bool mustHandOver_ = false;
   Time nextHandOverAt_;
-  std::vector<HeardProposal> heard_;
-  std::vector<Telling> tellings_;
+  std::vector<RecentProposal> recentProposals_;
+  std::vector<VerdictBroadcast> verdictBroadcasts_;
   Random random_;
   Time nextUnstoredAt_;
 };
--- a/src/peers/relay_tiers.cpp
+++ b/src/peers/relay_tiers.cpp
@@ -11,14 +11,14 @@
 
 namespace {
 
-constexpr size_t kFewestReaders = 2;
-/// Enough that one is left where a zone is cut off and another reader stops.
-constexpr size_t kMostReaders = 3;
+constexpr size_t kMinReaders = 2;
+/// Enough that one is left if a zone is partitioned off and another reader stops.
+constexpr size_t kMaxReaders = 3;
 constexpr size_t kNodesPerRelay = 16;
 constexpr uint64_t kReaderKey = 0x72656164657273;
 
-/// @return the power of two below a link's bandwidth, so that links which differ little count
-///         alike; 0 where it is unknown.
+/// @return the binary logarithm of a link's bandwidth, rounded down, so that links of similar
+///         bandwidth rank alike; 0 if it is unknown.
 int linkClass(uint32_t megabits) {
   int power = 0;
   while (megabits > 1) {
@@ -28,8 +28,8 @@
   return power;
 }
 
-/// @return the nodes with the widest links first, those of about the same one by rendezvous.
-std::vector<NodeId> ranked(std::vector<NodeId> nodes, const MembershipSnapshot& members) {
+/// @return the nodes by descending link class; nodes of the same class by rendezvous hash.
+std::vector<NodeId> rankByLink(std::vector<NodeId> nodes, const MembershipSnapshot& members) {
   const size_t count = nodes.size();
   std::vector<NodeId> order = rendezvousTop(kReaderKey, std::move(nodes), count, nodeHash);
   std::stable_sort(order.begin(), order.end(), [&](NodeId a, NodeId b) {
@@ -38,20 +38,20 @@
   return order;
 }
 
-/// @param relays in their order.
-/// @return the first few of the relays, each from another zone as far as there are zones.
-std::vector<NodeId> readersAmong(const std::vector<NodeId>& relays,
-                                 const MembershipSnapshot& members) {
+/// @param relays by rank.
+/// @return the first few relays, from different zones as far as possible.
+std::vector<NodeId> chooseReaders(const std::vector<NodeId>& relays,
+                                  const MembershipSnapshot& members) {
   std::set<ZoneId> zones;
-  std::vector<NodeId> ofNewZones;
+  std::vector<NodeId> firstOfZones;
   std::vector<NodeId> others;
   for (const NodeId relay : relays) {
     const bool isNewZone = zones.insert(members.find(relay)->zone).second;
-    (isNewZone ? ofNewZones : others).push_back(relay);
+    (isNewZone ? firstOfZones : others).push_back(relay);
   }
-  ofNewZones.insert(ofNewZones.end(), others.begin(), others.end());
-  ofNewZones.resize(std::min(kMostReaders, relays.size()));
-  return ofNewZones;
+  firstOfZones.insert(firstOfZones.end(), others.begin(), others.end());
+  firstOfZones.resize(std::min(kMaxReaders, relays.size()));
+  return firstOfZones;
 }
 
 }  // namespace
@@ -67,20 +67,20 @@
   }
   RelayTiers tiers;
   if (all.size() <= kNodesPerRelay) {
-    tiers.readers = ranked(std::move(all), members);
-    tiers.readers.resize(std::min(kFewestReaders, tiers.readers.size()));
+    tiers.readers = rankByLink(std::move(all), members);
+    tiers.readers.resize(std::min(kMinReaders, tiers.readers.size()));
     tiers.relays = tiers.readers;
     return tiers;
   }
   for (auto& [zone, nodes] : byZone) {
     const size_t count = nodes.size() / kNodesPerRelay + 1;
-    const std::vector<NodeId> order = ranked(std::move(nodes), members);
+    const std::vector<NodeId> order = rankByLink(std::move(nodes), members);
     const size_t chosen = std::min(count, order.size());
     tiers.relays.insert(tiers.relays.end(), order.begin(),
                         order.begin() + static_cast<ptrdiff_t>(chosen));
   }
-  tiers.relays = ranked(std::move(tiers.relays), members);
-  tiers.readers = readersAmong(tiers.relays, members);
+  tiers.relays = rankByLink(std::move(tiers.relays), members);
+  tiers.readers = chooseReaders(tiers.relays, members);
   return tiers;
 }
 
--- a/src/peers/state_mirror.cpp
+++ b/src/peers/state_mirror.cpp
@@ -7,14 +7,14 @@
 
 namespace {
 
-constexpr size_t kRemovalsKept = 512;
-/// A node that lacks more changes of a table than this takes the whole table.
-constexpr size_t kRevisionsKept = 64;
+constexpr size_t kMaxRemovals = 512;
+/// A node that is missing more changes of a table than this receives the whole table.
+constexpr size_t kMaxRevisions = 64;
 
 }  // namespace
 
 void StateMirror::forgetOldRemovals(KindState& state) {
-  while (state.gone.size() > kRemovalsKept) {
+  while (state.gone.size() > kMaxRemovals) {
     const auto oldest = std::min_element(
         state.gone.begin(), state.gone.end(),
         [](const auto& a, const auto& b) { return a.second.revision < b.second.revision; });
@@ -23,7 +23,7 @@
   }
 }
 
-bool StateMirror::tellsSince(MirrorKind kind, const KindState& state, uint64_t since) {
+bool StateMirror::canSendSince(MirrorKind kind, const KindState& state, uint64_t since) {
   if (since == 0 || since < state.goneKnownSince) {
     return false;
   }
@@ -31,34 +31,34 @@
          std::find(state.held.begin(), state.held.end(), since) != state.held.end();
 }
 
-bool StateMirror::completes(MirrorKind kind, const KindState& state, uint64_t from) {
-  // A part that changed and changed back is not in the difference of two revisions around that, so
-  // a copy that holds what lay between must not take it.
+bool StateMirror::leavesNoGap(MirrorKind kind, const KindState& state, uint64_t from) {
+  // A part that changed and changed back does not appear in the difference between the revisions
+  // before and after, so a copy that holds a revision in between must not apply that difference.
   return kHoldsParts[static_cast<size_t>(kind)] ? state.revision == from : state.revision >= from;
 }
 
-bool StateMirror::isReadAgain(const KindState& state, const MirrorEntry& entry) {
+bool StateMirror::isUnchangedAcrossEras(const KindState& state, const MirrorEntry& entry) {
   const auto known = state.entries.find(entry.name);
   return !entry.isGone && known != state.entries.end() &&
          eraOf(known->second.revision) != eraOf(entry.revision) && known->second.text == entry.text;
 }
 
 MirrorOutcome StateMirror::apply(MirrorKind kind, const MirrorDelta& delta) {
-  const std::lock_guard<std::mutex> order(applying_);
+  const std::lock_guard<std::mutex> applyLock(applyMutex_);
   const bool isDiffed = delta.fromRevision == 0 && kHoldsParts[static_cast<size_t>(kind)];
   return applyNext(kind, isDiffed ? differenceTo(kind, delta.toRevision, delta.entries) : delta);
 }
 
 MirrorOutcome StateMirror::applyNext(MirrorKind kind, const MirrorDelta& delta) {
   const bool isWhole = delta.fromRevision == 0;
-  std::vector<MirrorEntry> news;
+  std::vector<MirrorEntry> newEntries;
   {
     const std::lock_guard<std::mutex> lock(mutex_);
     KindState& state = stateOf(kind);
     if (state.isKnown && delta.toRevision <= state.revision) {
       return MirrorOutcome::kKnown;
     }
-    if (!isWhole && (!state.isKnown || !completes(kind, state, delta.fromRevision))) {
+    if (!isWhole && (!state.isKnown || !leavesNoGap(kind, state, delta.fromRevision))) {
       return MirrorOutcome::kGap;
     }
     if (isWhole) {
@@ -68,8 +68,8 @@
       state.goneKnownSince = delta.toRevision;
     }
     for (const MirrorEntry& entry : delta.entries) {
-      if (!isReadAgain(state, entry)) {
-        news.push_back(entry);
+      if (!isUnchangedAcrossEras(state, entry)) {
+        newEntries.push_back(entry);
       }
       if (entry.isGone) {
         state.entries.erase(entry.name);
@@ -85,14 +85,14 @@
     state.isKnown = true;
     state.revision = delta.toRevision;
     state.held.push_back(delta.toRevision);
-    if (state.held.size() > kRevisionsKept) {
+    if (state.held.size() > kMaxRevisions) {
       state.held.pop_front();
     }
   }
-  listener_(kind, news, isWhole);
+  listener_(kind, newEntries, isWhole);
   {
     const std::lock_guard<std::mutex> lock(mutex_);
-    stateOf(kind).told = delta.toRevision;
+    stateOf(kind).notifiedRevision = delta.toRevision;
   }
   return MirrorOutcome::kApplied;
 }
@@ -131,7 +131,7 @@
 
 MirrorOutcome StateMirror::applyList(MirrorKind kind, uint64_t revision,
                                      const std::vector<MirrorEntry>& entries) {
-  const std::lock_guard<std::mutex> order(applying_);
+  const std::lock_guard<std::mutex> applyLock(applyMutex_);
   return applyNext(kind, differenceTo(kind, revision, entries));
 }
 
@@ -140,11 +140,12 @@
   {
     const std::lock_guard<std::mutex> lock(mutex_);
     KindState& state = stateOf(kind);
-    // A listener that is still being told what is newer would take the proof for what it knew.
-    if (!state.isKnown || state.told < revision) {
+    // A listener that is still being notified of newer changes would attribute the confirmed read
+    // to the state that it had before.
+    if (!state.isKnown || state.notifiedRevision < revision) {
       return;
     }
-    held = state.told;
+    held = state.notifiedRevision;
     state.provenAt = state.provenAt ? std::max(*state.provenAt, provenAt) : provenAt;
   }
   onProof_(kind, held, provenAt);
@@ -188,15 +189,15 @@
   const KindState& state = stateOf(kind);
   size_t bytes = 0;
   if (state.isKnown && since < state.revision) {
-    forEachSince(state, tellsSince(kind, state, since) ? since : 0,
+    forEachSince(state, canSendSince(kind, state, since) ? since : 0,
                  [&](const MirrorEntry& entry) { bytes += entry.name.size() + entry.text.size(); });
   }
   return bytes;
 }
 
-uint64_t StateMirror::toldFrom(MirrorKind kind, uint64_t since) const {
+uint64_t StateMirror::deltaBase(MirrorKind kind, uint64_t since) const {
   const std::lock_guard<std::mutex> lock(mutex_);
-  return tellsSince(kind, stateOf(kind), since) ? since : 0;
+  return canSendSince(kind, stateOf(kind), since) ? since : 0;
 }
 
 std::optional<MirrorDelta> StateMirror::since(MirrorKind kind, uint64_t since) const {
@@ -207,7 +208,7 @@
   }
   MirrorDelta delta;
   delta.toRevision = state.revision;
-  delta.fromRevision = tellsSince(kind, state, since) ? since : 0;
+  delta.fromRevision = canSendSince(kind, state, since) ? since : 0;
   forEachSince(state, delta.fromRevision,
                [&](const MirrorEntry& entry) { delta.entries.push_back(entry); });
   return delta;
--- a/src/peers/state_mirror.h
+++ b/src/peers/state_mirror.h
@@ -1,12 +1,13 @@
 /// @file
-/// This node's copy of what lies in the operators' store, kind by kind, complete up to a revision.
-/// Some nodes read the store, the others take the changes from them: a copy that is complete up to
-/// a revision is the same on every node, so changes between two revisions can be passed on.
+/// Local replica of the operators' store, complete up to one revision per kind of object. Some
+/// nodes read the store, and the others receive the changes from them. A copy that is complete up
+/// to a revision is the same on every node, so the changes between two revisions can be forwarded.
 ///
-/// Revisions are the store's, with its era (common/store_revision.h): what it holds after it came
-/// back from an old copy is newer than all that was read before, and what it lost is told as lost.
-/// Parts of one object bear that object's own version, which its writers only raise: an older one
-/// that came back is never taken.
+/// Revisions are those of the store, combined with its era (common/store_revision.h). Whatever the
+/// store holds after it was restored from an old copy is newer than everything read before, and
+/// entries that the restore lost are reported as lost. Parts of one object carry the version of
+/// that object, which its writers only ever raise, so an older version that reappears is never
+/// applied.
 #pragma once
 
 #include <array>
@@ -28,96 +29,105 @@
 enum class MirrorKind { kRows, kBackends, kWeights, kMoves, kQuarantine };
 inline constexpr size_t kMirrorKinds = 5;
 
-/// Whether the entries of a kind are objects of the store, each with the revision of its last
-/// change, or parts of one object that this node has found to differ. Of parts a copy knows only
-/// when it saw them change, so changes to them can be passed on from revisions alone that it has
-/// held.
+/// Whether the entries of a kind are parts of one object of the store, or objects of their own,
+/// each with the revision of its last change. Of a part a copy knows only when it saw it change, so
+/// changes to parts can only be sent from revisions that this copy has held.
 inline constexpr std::array<bool, kMirrorKinds> kHoldsParts = {true, false, false, false, false};
 
-/// One object at one revision; its text is what the store's adapter understands.
+/// An object at a revision; its text is interpreted by the adapter of the store.
 struct MirrorEntry {
   std::string name;
   uint64_t revision = 0;
   bool isGone = false;
   std::string text;
-  bool isLost = false;  ///< Gone, as the store came back from a copy that lacks it.
+  bool isLost = false;  ///< Gone because the store was restored from a copy without it.
 };
 
-/// Changes of a kind.
+/// Changes of a kind between two revisions.
 struct MirrorDelta {
   uint64_t fromRevision = 0;  ///< 0: the entries are the whole kind.
   uint64_t toRevision = 0;
   std::vector<MirrorEntry> entries;
 };
 
-/// What became of a delta.
+/// Result of applying a delta.
 enum class MirrorOutcome {
   kApplied,
-  kKnown,  ///< This copy is as new or newer.
-  kGap,    ///< Changes before it are missing here.
+  kKnown,  ///< This copy has the same or a newer revision.
+  kGap,    ///< This copy is missing earlier changes.
 };
 
-/// Thread-safe. The listener is called with one kind at a time, on the thread that applies.
+/// Thread-safe. The listener is called for one kind at a time, on the thread that applies the
+/// changes.
 class StateMirror {
  public:
-  /// Takes entries that are new here. @param isWhole others of the kind are gone.
+  /// Receives the entries that are new here.
+  /// @param isWhole whether all other entries of the kind are gone.
   using Listener =
       std::function<void(MirrorKind kind, const std::vector<MirrorEntry>& entries, bool isWhole)>;
 
-  /// Hears that nothing newer than `revision`, which this copy holds, existed at `provenAt`.
+  /// Called when a read confirms that nothing newer than `revision`, which this copy holds, existed
+  /// at `provenAt`.
   using ProofListener = std::function<void(MirrorKind kind, uint64_t revision, Time provenAt)>;
 
   StateMirror(Listener listener, ProofListener onProof)
       : listener_(std::move(listener)), onProof_(std::move(onProof)) {}
 
   MirrorOutcome apply(MirrorKind kind, const MirrorDelta& delta);
-  /// Takes the whole kind as it was at a revision, and tells only what differs. Parts that come as
-  /// the whole kind are taken so too.
+  /// Applies the whole kind as of a revision, and notifies the listener of the differences only.
+  /// apply() does the same for a whole kind that consists of parts.
   MirrorOutcome applyList(MirrorKind kind, uint64_t revision,
                           const std::vector<MirrorEntry>& entries);
-  /// Notes that nothing newer than `revision` existed at `provenAt`; counts only if this copy is
-  /// complete up to that revision.
+  /// Records a read that confirmed that nothing newer than `revision` existed at `provenAt`.
+  /// Ignored unless this copy is complete up to that revision.
   void prove(MirrorKind kind, uint64_t revision, Time provenAt);
 
   uint64_t revision(MirrorKind kind) const;
   std::optional<Time> provenAt(MirrorKind kind) const;
-  /// @return bytes of the texts of a kind.
+  /// @return total size of the texts of a kind, in bytes.
   size_t textBytes(MirrorKind kind) const;
-  /// @return bytes of the names and texts that a copy at `since` lacks; 0 if it is up to date.
+  /// @return total size in bytes of the names and texts of the changes after `since`; 0 if there
+  /// are
+  ///         none.
   size_t bytesSince(MirrorKind kind, uint64_t since) const;
-  /// @return from which revision a copy at `since` is told changes; 0: it is told the whole kind.
-  uint64_t toldFrom(MirrorKind kind, uint64_t since) const;
-  /// @return what a copy at `since` lacks; nothing if it is up to date.
+  /// @return the revision from which changes are sent to a copy at `since`; 0 if it is sent the
+  /// whole
+  ///         kind.
+  uint64_t deltaBase(MirrorKind kind, uint64_t since) const;
+  /// @return the changes that bring a copy at `since` up to date; nothing if it is.
   std::optional<MirrorDelta> since(MirrorKind kind, uint64_t since) const;
 
  private:
   struct KindState {
     bool isKnown = false;
     uint64_t revision = 0;
-    uint64_t told = 0;  ///< The listener knows all up to this revision.
-    /// Of parts: revisions that this copy has held since it can tell the changes, the last
+    uint64_t notifiedRevision =
+        0;  ///< The listener was notified of all changes up to this revision.
+    /// For parts: the revisions that this copy has held and can send changes from; the last one is
     /// `revision`.
     std::deque<uint64_t> held;
     std::map<std::string, MirrorEntry> entries;
-    /// Entries that are gone, each with the revision at which that was known; the oldest are
+    /// Removed entries, each with the revision at which the removal was seen; the oldest are
     /// forgotten.
     std::map<std::string, MirrorEntry> gone;
     uint64_t goneKnownSince = 0;  ///< Removals after this revision are all in `gone`.
     std::optional<Time> provenAt;
   };
 
-  /// Call with the lock held. @return whether changes since that revision can be told.
-  static bool tellsSince(MirrorKind kind, const KindState& state, uint64_t since);
+  /// Call with the lock held. @return whether the changes since that revision can be sent.
+  static bool canSendSince(MirrorKind kind, const KindState& state, uint64_t since);
   /// Call with applying_ held.
   MirrorOutcome applyNext(MirrorKind kind, const MirrorDelta& delta);
-  /// Calls `take` with each entry, and with each that is gone, that a copy at `since` lacks.
+  /// Calls `take` with each present or removed entry that changed after `from`; 0: with each
+  /// present entry.
   template <class Take>
   static void forEachSince(const KindState& state, uint64_t from, Take take);
-  /// Call with the lock held. @return whether an entry only was read again after the store came
-  /// back.
-  static bool isReadAgain(const KindState& state, const MirrorEntry& entry);
-  /// Call with the lock held. @return whether changes from that revision on complete this copy.
-  static bool completes(MirrorKind kind, const KindState& state, uint64_t from);
+  /// Call with the lock held. @return whether an entry is unchanged and was only read again after
+  /// the store was restored.
+  static bool isUnchangedAcrossEras(const KindState& state, const MirrorEntry& entry);
+  /// Call with the lock held. @return whether changes that start at that revision leave no gap in
+  /// this copy.
+  static bool leavesNoGap(MirrorKind kind, const KindState& state, uint64_t from);
   MirrorDelta differenceTo(MirrorKind kind, uint64_t revision,
                            const std::vector<MirrorEntry>& entries) const;
   static void forgetOldRemovals(KindState& state);
@@ -126,8 +136,8 @@
 
   Listener listener_;
   ProofListener onProof_;
-  /// Held while a delta is found, applied and told, before mutex_.
-  std::mutex applying_;
+  /// Held while a delta is computed, applied and passed to the listener; locked before mutex_.
+  std::mutex applyMutex_;
   mutable std::mutex mutex_;
   std::array<KindState, kMirrorKinds> kinds_;
 };
--- a/src/quarantine/crash_evidence.cpp
+++ b/src/quarantine/crash_evidence.cpp
@@ -8,27 +8,28 @@
 
 namespace {
 
-/// Ends of engines under one request that make it suspected. Users allow three before a request
-/// may not be sent on; two would suspect the victims of others too often (test/quarantine).
-constexpr size_t kEndsNeeded = 3;
-/// A request that comes back later than this after a crash begins anew.
-constexpr Duration kEvidenceTime{std::chrono::minutes(10)};
-/// Each holds about 150 bytes: 0.3 MB. One end of an engine brings as many as ran there, 48 or
-/// fewer on the deployments known.
-constexpr size_t kMostSuspects = 2048;
-constexpr size_t kMostExplained = 512;
-/// Engines take longer than this to start, and reports of one end whose process is not known come
-/// within less.
-constexpr Duration kOneEnd{1200000};
-
-/// Ends that lie so far apart count as a story of their own even where few followed each other: who
-/// is innocent has been served somewhere by then.
-constexpr Duration kLongStory{3000000};
-
-/// @return how many of the runs followed each other, each begun after the one before it had ended.
-///         Engines that end at the same moment, as with a rack or under several such requests, are
-///         one step: whatever is asked all the time runs at each of them.
-size_t stepsOf(std::vector<CrashedRun> runs) {
+/// Crashes of engines after which a request is suspected. The requirements allow three before a
+/// request must not be sent any more; two would suspect the victims of other requests too often
+/// (test/quarantine).
+constexpr size_t kMinCrashes = 3;
+/// The evidence against a request is dropped if its next crash comes later than this.
+constexpr Duration kEvidenceLifetime{std::chrono::minutes(10)};
+/// About 150 bytes each, 0.3 MB in total. A crash adds as many as were running at the engine, at
+/// most 48 in the known deployments.
+constexpr size_t kMaxSuspects = 2048;
+constexpr size_t kMaxExplained = 512;
+/// Runs cut off within this time ended with the same crash if the start of the process is unknown.
+/// Engines take longer to restart, and the reports of one crash arrive faster.
+constexpr Duration kSameCrashWindow{1200000};
+
+/// Crashes that span at least this time implicate a request even if only two of them followed each
+/// other: an innocent request has been served somewhere by then.
+constexpr Duration kMinCrashSpan{3000000};
+
+/// @return how many of the runs followed each other, each begun after the previous one had ended.
+///         Engines that crash at the same time, as when a rack fails or several such requests run,
+///         count as one step, because a request that is sent all the time runs at each of them.
+size_t countSteps(std::vector<CrashedRun> runs) {
   std::sort(runs.begin(), runs.end(),
             [](const CrashedRun& a, const CrashedRun& b) { return a.endedAt < b.endedAt; });
   size_t steps = 0;
@@ -42,20 +43,21 @@
   return steps;
 }
 
-/// @return whether the ends tell of the request rather than of a moment at which much ended.
-bool tellOfRequest(const std::vector<CrashedRun>& runs) {
+/// @return whether the crashes implicate the request rather than one moment at which many engines
+///         failed.
+bool implicatesRequest(const std::vector<CrashedRun>& runs) {
   const auto byEnd = [](const CrashedRun& a, const CrashedRun& b) { return a.endedAt < b.endedAt; };
   const auto [first, last] = std::minmax_element(runs.begin(), runs.end(), byEnd);
-  const size_t steps = stepsOf(runs);
-  return steps >= kEndsNeeded || (steps > 1 && last->endedAt - first->endedAt >= kLongStory);
+  const size_t steps = countSteps(runs);
+  return steps >= kMinCrashes || (steps > 1 && last->endedAt - first->endedAt >= kMinCrashSpan);
 }
 
 }  // namespace
 
-bool isSameEnd(const CrashedRun& a, const CrashedRun& b) {
+bool isSameCrash(const CrashedRun& a, const CrashedRun& b) {
   const Duration apart = a.endedAt < b.endedAt ? b.endedAt - a.endedAt : a.endedAt - b.endedAt;
   const bool isOneProcess = a.startKnown && b.startKnown;
-  return a.incarnation == b.incarnation && (isOneProcess || apart < kOneEnd);
+  return a.incarnation == b.incarnation && (isOneProcess || apart < kSameCrashWindow);
 }
 
 Time Suspicion::since() const {
@@ -65,25 +67,25 @@
       ->beganAt;
 }
 
-bool Suspicion::sharesEndWith(const Suspicion& other) const {
+bool Suspicion::sharesCrashWith(const Suspicion& other) const {
   return std::any_of(runs.begin(), runs.end(), [&](const CrashedRun& run) {
     return std::any_of(other.runs.begin(), other.runs.end(),
-                       [&](const CrashedRun& each) { return isSameEnd(run, each); });
+                       [&](const CrashedRun& each) { return isSameCrash(run, each); });
   });
 }
 
 bool CrashEvidence::isExplained(uint64_t fingerprint, const CrashedRun& run) const {
   return std::any_of(explained_.begin(), explained_.end(), [&](const Explained& each) {
-    return each.by != fingerprint && isSameEnd(each.run, run);
+    return each.by != fingerprint && isSameCrash(each.run, run);
   });
 }
 
 void CrashEvidence::makeRoom(Time now) {
   for (auto suspect = suspects_.begin(); suspect != suspects_.end();) {
-    suspect = now - suspect->second.lastAt > kEvidenceTime ? suspects_.erase(suspect)
-                                                           : std::next(suspect);
+    suspect = now - suspect->second.lastAt > kEvidenceLifetime ? suspects_.erase(suspect)
+                                                               : std::next(suspect);
   }
-  if (suspects_.size() < kMostSuspects) {
+  if (suspects_.size() < kMaxSuspects) {
     return;
   }
   suspects_.erase(
@@ -99,17 +101,17 @@
   if (isExplained(fingerprint, run)) {
     return std::nullopt;
   }
-  if (suspects_.count(fingerprint) == 0 && suspects_.size() >= kMostSuspects) {
+  if (suspects_.count(fingerprint) == 0 && suspects_.size() >= kMaxSuspects) {
     makeRoom(now);
   }
-  const Suspect fresh{{}, kEndsNeeded, now};
+  const Suspect fresh{{}, kMinCrashes, now};
   Suspect& suspect = suspects_.try_emplace(fingerprint, fresh).first->second;
-  if (now - suspect.lastAt > kEvidenceTime) {
+  if (now - suspect.lastAt > kEvidenceLifetime) {
     suspect = fresh;
   }
   suspect.lastAt = now;
   const bool isKnown = std::any_of(suspect.runs.begin(), suspect.runs.end(),
-                                   [&](const CrashedRun& each) { return isSameEnd(each, run); });
+                                   [&](const CrashedRun& each) { return isSameCrash(each, run); });
   if (!isKnown) {
     suspect.runs.push_back(run);
   }
@@ -119,7 +121,7 @@
 std::optional<Suspicion> CrashEvidence::suspicionOf(uint64_t fingerprint) const {
   const auto found = suspects_.find(fingerprint);
   if (found == suspects_.end() || found->second.runs.size() < found->second.needed ||
-      !tellOfRequest(found->second.runs)) {
+      !implicatesRequest(found->second.runs)) {
     return std::nullopt;
   }
   return Suspicion{fingerprint, found->second.runs};
@@ -153,25 +155,25 @@
   for (const CrashedRun& run : runs) {
     explained_.push_back(Explained{by, run});
   }
-  while (explained_.size() > kMostExplained) {
+  while (explained_.size() > kMaxExplained) {
     explained_.pop_front();
   }
-  const auto isOneOfThem = [&](const CrashedRun& run) {
+  const auto isExplainedNow = [&](const CrashedRun& run) {
     return std::any_of(runs.begin(), runs.end(),
-                       [&](const CrashedRun& each) { return isSameEnd(each, run); });
+                       [&](const CrashedRun& each) { return isSameCrash(each, run); });
   };
   for (auto suspect = suspects_.begin(); suspect != suspects_.end();) {
     std::vector<CrashedRun>& held = suspect->second.runs;
     if (suspect->first != by) {
-      held.erase(std::remove_if(held.begin(), held.end(), isOneOfThem), held.end());
+      held.erase(std::remove_if(held.begin(), held.end(), isExplainedNow), held.end());
     }
     suspect = held.empty() ? suspects_.erase(suspect) : std::next(suspect);
   }
 }
 
-bool CrashEvidence::demandOneMore(uint64_t fingerprint) {
+bool CrashEvidence::requireOneMoreCrash(uint64_t fingerprint) {
   const auto found = suspects_.find(fingerprint);
-  if (found == suspects_.end() || found->second.runs.size() >= kMostEndsNeeded) {
+  if (found == suspects_.end() || found->second.runs.size() >= kMaxCrashesNeeded) {
     return false;
   }
   found->second.needed = found->second.runs.size() + 1;
--- a/src/quarantine/crash_evidence.h
+++ b/src/quarantine/crash_evidence.h
@@ -1,9 +1,9 @@
 /// @file
-/// Which request crashes the engines that run it. Whatever runs at an engine that ends is under
-/// suspicion, most of it innocently: a request is suspected only when several engines ended under
-/// it, each in a run that began after the end before it, or some seconds apart, and when no other
-/// request explains these ends. Whether it was served meanwhile is for the caller to ask: see
-/// peers/quarantine_directory.h.
+/// Finds the requests that crash engines. Every request that runs at an engine when it crashes
+/// could be the cause, and most of them are not. A request is therefore suspected only if several
+/// engines crashed while running it, each run beginning after the previous crash or the crashes
+/// lying some seconds apart, and if no other request explains these crashes. The caller checks
+/// whether the request was served meanwhile; see peers/quarantine_directory.h.
 #pragma once
 
 #include <cstdint>
@@ -16,55 +16,56 @@
 
 namespace fernmoor::quarantine {
 
-/// One run of a request that ended with the process of its engine.
+/// A run of a request that ended because the process of its engine ended.
 struct CrashedRun {
-  uint64_t incarnation = 0;  ///< Equal on all nodes for one incarnation of an engine.
-  Time beganAt;              ///< When it was sent there.
+  uint64_t incarnation = 0;  ///< Incarnation of the engine; the same value on all nodes.
+  Time beganAt;              ///< When the request was sent to the engine.
   Time endedAt;
-  bool startKnown = false;  ///< The incarnation names one process, as its start was told.
+  bool startKnown = false;  ///< The incarnation identifies one process, as its start time is known.
 };
 
-/// @return whether both ended with one and the same process. One that fell silent goes on being
-/// asked,
-///         and what it held is cut off some seconds apart: where its start is known, no time tells
-///         two ends apart, else an engine that starts again takes seconds.
-bool isSameEnd(const CrashedRun& a, const CrashedRun& b);
+/// @return whether both runs ended with the same process. A process that stops responding still
+///         receives requests, and its runs are cut off some seconds apart. If its start is known,
+///         two runs of one incarnation therefore always ended with the same process; otherwise they
+///         are told apart by time, as an engine takes seconds to restart.
+bool isSameCrash(const CrashedRun& a, const CrashedRun& b);
 
-/// A request under which enough engines ended.
+/// A request that was running at enough crashes of engines.
 struct Suspicion {
   uint64_t fingerprint = 0;
-  std::vector<CrashedRun> runs;  ///< In no order; empty only in a verdict told without them.
+  std::vector<CrashedRun>
+      runs;  ///< Unordered; empty only for a verdict that was sent without them.
 
-  /// @return when the first of its runs began that ended so.
+  /// @return when the first of the runs began.
   Time since() const;
-  /// @return whether some end is told of both.
-  bool sharesEndWith(const Suspicion& other) const;
+  /// @return whether both have a crash in common.
+  bool sharesCrashWith(const Suspicion& other) const;
 };
 
-/// Not thread-safe. Memory is bounded: a flood of requests that each saw one engine end pushes out
-/// none that saw several.
+/// Not thread-safe. Memory is bounded; a flood of requests with one crash each does not evict those
+/// with several.
 class CrashEvidence {
  public:
-  /// Where two requests were at the same ends, further ones must tell them apart; two that always
-  /// come together are both suspected after so many.
-  static constexpr size_t kMostEndsNeeded = 5;
+  /// If two requests were running at the same crashes, further crashes must tell them apart. Two
+  /// requests that always come together are both suspected after this number of crashes.
+  static constexpr size_t kMaxCrashesNeeded = 5;
 
-  /// @return the suspicion, where there is one with this run.
+  /// Records a run. @return the suspicion against the request, if there is one now.
   std::optional<Suspicion> note(uint64_t fingerprint, const CrashedRun& run, Time now);
   /// @return the suspicion against the request, if there is one.
   std::optional<Suspicion> suspicionOf(uint64_t fingerprint) const;
-  /// @return the ends that are held against the request.
+  /// @return the runs that are held against the request.
   std::vector<CrashedRun> runsOf(uint64_t fingerprint) const;
-  /// The request was served, or is quarantined: nothing is held against it any more.
+  /// Drops everything held against the request, as it was served or is quarantined.
   void clear(uint64_t fingerprint);
-  /// These ends are another request's doing: they count against nobody else, also where they are
-  /// told later.
+  /// Attributes crashes to a request: they don't count against any other request, even if they are
+  /// reported later.
   void explain(uint64_t by, const std::vector<CrashedRun>& runs);
-  /// Suspects the request only after one more end than it has now.
-  /// @return false where it has as many as are ever asked for.
-  bool demandOneMore(uint64_t fingerprint);
+  /// Requires one more crash than there are now before the request is suspected.
+  /// @return false if it already has the maximum number that can be required.
+  bool requireOneMoreCrash(uint64_t fingerprint);
   size_t size() const { return suspects_.size(); }
-  /// @return what is held against requests, at most so many, those with the newest ends.
+  /// @return the runs held against requests, for at most `most` requests with the newest crashes.
   std::vector<Suspicion> newest(size_t most) const;
 
  private:
--- a/src/quarantine/quarantine_table.cpp
+++ b/src/quarantine/quarantine_table.cpp
@@ -6,13 +6,13 @@
 
 namespace {
 
-/// How long a request is not sent. Shorter: it crashes three engines more each time. Longer: one
-/// that was blamed falsely, or whose fault was mended, is refused for longer; an operator can lift
-/// it.
+/// How long a quarantined request is rejected. After each expiry it can crash three more engines.
+/// With a longer time, a request that was quarantined wrongly or whose fault has been fixed is
+/// rejected for longer, although an operator can lift the quarantine.
 constexpr Duration kQuarantineTime{std::chrono::minutes(30)};
-/// Some 80 bytes each. Each takes three ends of engines, so an engine would have to end each 1.7 s
-/// for the whole time.
-constexpr size_t kMostQuarantined = 1024;
+/// About 80 bytes each. Each entry takes three crashes, so to fill the table an engine would have
+/// to crash every 1.7 s for the whole quarantine time.
+constexpr size_t kMaxQuarantined = 1024;
 
 }  // namespace
 
@@ -23,11 +23,12 @@
   const std::lock_guard<std::mutex> lock(mutex_);
   const auto [entry, isNew] = entries_.try_emplace(request.fingerprint, Entry{request.since});
   if (!isNew && now - entry->second.since >= kQuarantineTime) {
-    entry->second = Entry{request.since};  // It came again after its time.
+    entry->second =
+        Entry{request.since};  // Quarantined again after the previous quarantine had expired.
     return true;
   }
   entry->second.since = std::min(entry->second.since, request.since);
-  if (entries_.size() > kMostQuarantined) {
+  if (entries_.size() > kMaxQuarantined) {
     entries_.erase(std::min_element(
         entries_.begin(), entries_.end(),
         [](const auto& a, const auto& b) { return a.second.since < b.second.since; }));
--- a/src/quarantine/quarantine_table.h
+++ b/src/quarantine/quarantine_table.h
@@ -1,6 +1,7 @@
 /// @file
-/// Requests that are not sent to any engine, as they crash those that run them. Each node holds all
-/// of them; they lie in the operators' store too, so that they outlive a restart of all nodes.
+/// Quarantined requests, which are not sent to any engine because they crash the engines that run
+/// them. Each node holds all of them. They are also kept in the operators' store, so that they
+/// survive a restart of all nodes.
 #pragma once
 
 #include <cstdint>
@@ -13,7 +14,7 @@
 
 namespace fernmoor::quarantine {
 
-/// One request that is not sent on.
+/// A quarantined request.
 struct Quarantined {
   uint64_t fingerprint = 0;
   Time since;
@@ -22,19 +23,20 @@
 /// Thread-safe.
 class QuarantineTable {
  public:
-  /// @param since when it was quarantined; the earlier instant stands. @return whether it is new.
+  /// Adds a request; if it is already in the table, the earlier `since` is kept.
+  /// @return whether it is new.
   bool add(const Quarantined& request, Time now);
-  /// Notes that it lies in the store.
+  /// Records that the request is in the store.
   void noteStored(uint64_t fingerprint);
-  /// Notes that the store has lost it: it is to be written again.
+  /// Records that the store has lost the request, so that it is written again.
   void noteLost(uint64_t fingerprint);
-  /// An operator took it out of the store: it may be sent again.
+  /// Ends the quarantine, as an operator removed the request from the store.
   void lift(uint64_t fingerprint);
-  /// @return how long it must not be sent from now on; nothing: it may be sent.
+  /// @return the remaining quarantine time; nothing if the request may be sent.
   std::optional<Duration> timeLeft(uint64_t fingerprint, Time now) const;
-  /// @return those that are not known to lie in the store.
+  /// @return the requests that are not known to be in the store.
   std::vector<Quarantined> unstored(Time now) const;
-  /// @return those in the store whose time is over, and forgets them here.
+  /// Drops the expired requests. @return those of them that are in the store.
   std::vector<uint64_t> takeExpired(Time now);
   size_t size() const;
 
--- a/src/quarantine/served_memory.h
+++ b/src/quarantine/served_memory.h
@@ -1,6 +1,6 @@
 /// @file
-/// When requests were served lately, in bounded memory: two generations, the older one dropped when
-/// the newer is full.
+/// Remembers when requests were last served, in bounded memory: two generations, of which the older
+/// is dropped when the newer is full.
 #pragma once
 
 #include <cstdint>
@@ -15,22 +15,22 @@
 class ServedMemory {
  public:
   void note(uint64_t fingerprint, Time now) {
-    if (newer_.size() >= kGeneration) {
+    if (newer_.size() >= kGenerationSize) {
       older_.swap(newer_);
       newer_.clear();
     }
     newer_[fingerprint] = now;
   }
-  /// @return whether it is known to have been served later than that.
+  /// @return whether the request is known to have been served after `since`.
   bool wasServedAfter(uint64_t fingerprint, Time since) const {
     return isAfter(newer_, fingerprint, since) || isAfter(older_, fingerprint, since);
   }
 
  private:
   using Generation = std::unordered_map<uint64_t, Time>;
-  /// A node of the target serves 22 requests a second, so each generation spans 46 s at least; two
-  /// take 0.1 MB.
-  static constexpr size_t kGeneration = 1024;
+  /// Entries per generation. At the target load a node serves 22 requests per second, so a
+  /// generation spans at least 46 s; two take 0.1 MB.
+  static constexpr size_t kGenerationSize = 1024;
 
   static bool isAfter(const Generation& generation, uint64_t fingerprint, Time since) {
     const auto found = generation.find(fingerprint);
--- a/test/peers/open_questions_test.cpp
+++ b/test/peers/open_questions_test.cpp
@@ -20,7 +20,7 @@
 TEST_CASE("a short question is given up after a moment, and its late answer is not taken for one") {
   OpenQuestions questions(0);
   const uint32_t id = questions.ask(kOther, kStart);
-  CHECK(questions.giveUp(kStart + kMoment) == 1);
+  CHECK(questions.expire(kStart + kMoment) == 1);
   CHECK_FALSE(questions.takeAnswered(id, kOther));
   const uint32_t next = questions.ask(kOther, kStart);
   CHECK_FALSE(questions.takeAnswered(next, NodeId(3)));
@@ -38,32 +38,32 @@
 TEST_CASE("a pull is given up in a moment, unless it is told that its answer waits") {
   OpenQuestions questions(0);
   questions.pull(kOther, kStart);
-  CHECK(questions.giveUp(kStart + kMoment) == 1);
+  CHECK(questions.expire(kStart + kMoment) == 1);
   CHECK_FALSE(questions.isPulling());
 
   const uint32_t id = questions.pull(kOther, kStart);
   questions.noteQueued(id, NodeId(3), kQueued, kStart);  // Another node knows nothing of it.
   questions.noteQueued(id, kOther, kQueued, kStart);
-  CHECK(questions.giveUp(kStart + std::chrono::milliseconds(1200)) == 0);
-  CHECK(questions.giveUp(kStart + std::chrono::milliseconds(1400)) == 1);
+  CHECK(questions.expire(kStart + std::chrono::milliseconds(1200)) == 0);
+  CHECK(questions.expire(kStart + std::chrono::milliseconds(1400)) == 1);
 
   SUBCASE("and has twice as long after each time that was too short") {
     questions.noteQueued(questions.pull(kOther, kStart), kOther, kQueued, kStart);
-    CHECK(questions.giveUp(kStart + std::chrono::milliseconds(2500)) == 0);
-    CHECK(questions.giveUp(kStart + std::chrono::milliseconds(2700)) == 1);
+    CHECK(questions.expire(kStart + std::chrono::milliseconds(2500)) == 0);
+    CHECK(questions.expire(kStart + std::chrono::milliseconds(2700)) == 1);
   }
   SUBCASE("until what was pulled is here") {
     questions.pull(kOther, kStart);
-    questions.notePulled();
+    questions.completePull();
     CHECK_FALSE(questions.isPulling());
     CHECK(questions.size() == 0);
     questions.noteQueued(questions.pull(kOther, kStart), kOther, kQueued, kStart);
-    CHECK(questions.giveUp(kStart + std::chrono::milliseconds(1400)) == 1);
+    CHECK(questions.expire(kStart + std::chrono::milliseconds(1400)) == 1);
   }
   SUBCASE("but never so long at first that a bound of the table passes behind a node that ended") {
-    questions.notePulled();
+    questions.completePull();
     questions.noteQueued(questions.pull(kOther, kStart), kOther, 100 * kQueued, kStart);
-    CHECK(questions.giveUp(kStart + std::chrono::milliseconds(1600)) == 1);
+    CHECK(questions.expire(kStart + std::chrono::milliseconds(1600)) == 1);
   }
 }
 
--- a/test/quarantine/crash_evidence_test.cpp
+++ b/test/quarantine/crash_evidence_test.cpp
@@ -109,12 +109,12 @@
     const auto began = static_cast<int64_t>(engine) * 1000;
     evidence.note(kPoison, runAt(engine, began, began + 100), at(began + 100));
   }
-  CHECK(evidence.demandOneMore(kPoison));
+  CHECK(evidence.requireOneMoreCrash(kPoison));
   CHECK_FALSE(evidence.note(kPoison, runAt(3, 3050, 3100), at(3200)));
   CHECK(evidence.note(kPoison, runAt(4, 4000, 4100), at(4100)));
-  CHECK(evidence.demandOneMore(kPoison));
+  CHECK(evidence.requireOneMoreCrash(kPoison));
   CHECK(evidence.note(kPoison, runAt(5, 5000, 5100), at(5100)));
-  CHECK_FALSE(evidence.demandOneMore(kPoison));
+  CHECK_FALSE(evidence.requireOneMoreCrash(kPoison));
 }
 
 TEST_CASE("evidence is forgotten after a time, and bounded in number") {
