--- a/test/platform/mirror_decoder_test.cpp
+++ b/test/platform/mirror_decoder_test.cpp
@@ -32,7 +32,7 @@
   WantedWeights wanted{WeightBounds{}};
   RevisionTimes revisionTimes;
   quarantine::QuarantineTable quarantined;
-  MirrorDecoder decoder{FollowedState{clock, table, backends, wanted, revisionTimes, quarantined}};
+  MirrorDecoder decoder{DecoderTables{clock, table, backends, wanted, revisionTimes, quarantined}};
 };
 
 }  // namespace
--- a/test/platform/store_client_test.cpp
+++ b/test/platform/store_client_test.cpp
@@ -53,7 +53,7 @@
   SUBCASE("where the store changed between pages") {
     PagedStore store(100, 103);
     StoreClient client(store.address(), clock);
-    const Result<StoreList> list = client.list("servers", ListAge::kNewest);
+    const Result<StoreList> list = client.list("servers", ListFreshness::kNewest);
     REQUIRE(isOk(list));
     CHECK(valueOf(list).items.size() == 2);
     CHECK(valueOf(list).revision == 100);
@@ -64,7 +64,7 @@
   SUBCASE("where a later page is an older answer") {
     PagedStore store(100, 90);
     StoreClient client(store.address(), clock);
-    const Result<StoreList> list = client.list("servers", ListAge::kMayBeOld);
+    const Result<StoreList> list = client.list("servers", ListFreshness::kMayBeStale);
     REQUIRE(isOk(list));
     CHECK(valueOf(list).revision == 90);
     REQUIRE(store.asked().size() == 2);
@@ -76,10 +76,10 @@
 namespace {
 
 /// @return what a store client makes of that list.
-Result<StoreText> listed(const std::string& body) {
+Result<RawStoreList> listed(const std::string& body) {
   const SystemClock clock;
   ScriptedBackend store(gateway::test::always(gateway::test::answer("200 OK", body)));
-  return StoreClient(store.address(), clock).listText("config");
+  return StoreClient(store.address(), clock).listRaw("config");
 }
 
 const std::string kItems = R"({"items":[{"meta":{"name":"main","rev":7},"spec":{"at":5}}],)";
@@ -87,8 +87,8 @@
 }  // namespace
 
 TEST_CASE("of a list as text its revision is known apart from the rest, which stays the same") {
-  const Result<StoreText> first = listed(kItems + R"("more":false,"at":530})");
-  const Result<StoreText> second = listed(kItems + R"("more":false,"at": 531 })" + "\n");
+  const Result<RawStoreList> first = listed(kItems + R"("more":false,"at":530})");
+  const Result<RawStoreList> second = listed(kItems + R"("more":false,"at": 531 })" + "\n");
   REQUIRE(isOk(first));
   REQUIRE(isOk(second));
   CHECK(valueOf(first).revision == 530);
@@ -102,7 +102,7 @@
 }
 
 TEST_CASE("a list that does not end with its revision is read all the same") {
-  const Result<StoreText> list = listed(R"({"at":530,)" + kItems.substr(1) + R"("more":false})");
+  const Result<RawStoreList> list = listed(R"({"at":530,)" + kItems.substr(1) + R"("more":false})");
   REQUIRE(isOk(list));
   CHECK(valueOf(list).revision == 530);
   CHECK(isOk(findObject(valueOf(list), "main")));
@@ -143,13 +143,14 @@
   EraStore store;
   StoreClient client(store.address(), clock);
   store.answers("200 OK", kList, "4");
-  const uint64_t before = valueOf(client.listText("config")).revision;
+  const uint64_t before = valueOf(client.listRaw("config")).revision;
   CHECK(before == storeRevision(4, 30));
   CHECK(client.era().number == 4);
-  CHECK(valueOf(client.list("servers", ListAge::kNewest)).items[0].revision == storeRevision(4, 7));
+  CHECK(valueOf(client.list("servers", ListFreshness::kNewest)).items[0].revision ==
+        storeRevision(4, 7));
   SUBCASE("a refusal names it too") {
     store.answers("503 Away", "", "5");
-    CHECK_FALSE(isOk(client.listText("config")));
+    CHECK_FALSE(isOk(client.listRaw("config")));
     CHECK(client.era().number == 5);
   }
   SUBCASE("a watch from a revision of a former era has lost its history") {
@@ -161,7 +162,7 @@
   SUBCASE("an era that is no number fails the call") {
     for (const char* era : {"abc", "-1", "", "5.0", "9999999", "5 6"}) {
       store.answers("200 OK", kList, era);
-      CHECK_MESSAGE(errorOf(client.listText("config")).kind == ErrorKind::kUnavailable, era);
+      CHECK_MESSAGE(errorOf(client.listRaw("config")).kind == ErrorKind::kUnavailable, era);
     }
     CHECK(client.era().number == 4);
   }
@@ -173,7 +174,7 @@
   StoreClient client(store.address(), clock);
   const Poco::JSON::Object::Ptr spec(new Poco::JSON::Object);
   store.answers("200 OK", kList, "4");
-  REQUIRE(isOk(client.listText("config")));
+  REQUIRE(isOk(client.listRaw("config")));
   SUBCASE("where the new one is known, it is a conflict") {
     store.answers("200 OK", kWritten, "5");
     REQUIRE(isOk(client.get("moves", "a")));
--- a/test/platform/table_spread_test.cpp
+++ b/test/platform/table_spread_test.cpp
@@ -188,7 +188,7 @@
   void readStore(Node& node) {
     if (node.reading && now_ >= node.nextReadAt) {
       const StoreObject object = *std::exchange(node.reading, std::nullopt);
-      if (const auto since = takeTable(node.mirror, object)) {
+      if (const auto since = applyTable(node.mirror, object)) {
         node.role.announce(MirrorKind::kRows, *since, now_, node);
       }
       node.mirror.prove(MirrorKind::kRows, object.revision, node.readStartedAt);
