--- a/src/admission/admission_controller.cpp
+++ b/src/admission/admission_controller.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-/// Below this rate of starts nothing is known of the wait.
-constexpr double kLeastKnownStartsPerSecond = 0.05;
+/// Starts per second below which the measured rate is too low to estimate a wait from.
+constexpr double kMinimumMeasuredStartsPerSecond = 0.05;
 
 }  // namespace
 
@@ -25,7 +25,7 @@
   if (!isOk(limit)) {
     ++counters_.refusedByLimit;
     Error error = errorOf(limit);
-    error.retryAfter = spread(error.retryAfter.value_or(knobs_.minimumRetryAfter));
+    error.retryAfter = addJitter(error.retryAfter.value_or(knobs_.minimumRetryAfter));
     return error;
   }
   Pool& pool = poolOf(request.pool);
@@ -50,7 +50,7 @@
   queued.latestStart = latestStartOf(request, now);
   const Duration wait = estimatedWait(pool, request, now);
   if (now + wait > queued.latestStart) {
-    ++counters_.refusedHopeless;
+    ++counters_.refusedByEstimate;
     return overloadError("the request could not start in time", wait);
   }
   const auto displaced = pool.queue.push(queued);
@@ -69,7 +69,7 @@
                                             Time now) const {
   const double rate = pool.starts.perSecond(now, knobs_.grantRateHalfLife);
   const double ahead = pool.queue.requestsAhead(request);
-  if (rate < kLeastKnownStartsPerSecond) {
+  if (rate < kMinimumMeasuredStartsPerSecond) {
     return Duration(0);
   }
   return fromSeconds(ahead / rate);
@@ -146,10 +146,10 @@
   const Duration base = std::clamp(wait, knobs_.minimumRetryAfter, knobs_.maximumRetryAfter);
   return Error{ErrorKind::kOverloaded,
                what + "; send it again after the time in Retry-After, or with a later deadline.",
-               RunState::kNotRun, spread(base)};
+               RunState::kNotRun, addJitter(base)};
 }
 
-Duration AdmissionController::spread(Duration retryAfter) {
+Duration AdmissionController::addJitter(Duration retryAfter) {
   const Duration base = std::min(retryAfter, knobs_.maximumRetryAfter);
   return base + random_.between(Duration(0), std::max(base, knobs_.minimumRetryAfter));
 }
--- a/src/admission/admission_controller.h
+++ b/src/admission/admission_controller.h
@@ -1,7 +1,7 @@
 /// @file
-/// The door of the request plane: a request starts at once, waits, or is refused at once with the
-/// time to come back. Limits of the row come first, then the pool's capacity, which is told from
-/// the engines' load (back pressure). docs/ADMISSION.md explains the mechanisms.
+/// Admission control: each request is admitted immediately, queued, or rejected immediately with a
+/// Retry-After. The row's limits are checked first, then the pool's capacity, which is derived from
+/// the load of the engines (backpressure). docs/ADMISSION.md explains the mechanisms.
 #pragma once
 
 #include <map>
@@ -19,45 +19,46 @@
 
 namespace fernmoor {
 
-/// Counts since the start.
+/// Totals since the process started.
 struct AdmissionCounters {
   uint64_t admittedAtOnce = 0;
   uint64_t queued = 0;
   uint64_t granted = 0;
   uint64_t refusedByLimit = 0;
-  uint64_t refusedHopeless = 0;   ///< Could not have started in time.
-  uint64_t refusedDisplaced = 0;  ///< The queue was full, or needed for work of a higher band.
-  uint64_t refusedExpired = 0;    ///< Waited, and then could not start in time any more.
+  uint64_t refusedByEstimate = 0;  ///< By its estimated wait it could not start in time.
+  uint64_t refusedDisplaced = 0;   ///< Queue full, or evicted for a request of a higher band.
+  uint64_t refusedExpired = 0;     ///< Its latest start passed while it was queued.
   uint64_t retriesAllowed = 0;
   uint64_t retriesRefused = 0;
 };
 
-/// Thread-safe; takes the lock of rank kAdmission. Every request that was admitted, or granted by
-/// a decision, is ended by one call of release(); refused and cancelled ones are not.
+/// Thread-safe; takes the lock of rank kAdmission. Call release() exactly once for each request
+/// that was admitted or whose ticket was granted, and never for a rejected or cancelled one.
 class AdmissionController {
  public:
-  /// @param limiter limits of rows; used under this object's lock.
+  /// @param limiter enforces the row limits; called with this object's lock held.
   AdmissionController(const Knobs& knobs, std::shared_ptr<RowLimiter> limiter, uint64_t seed);
 
   /// @return Admitted, Queued with a ticket, or an error with runState kNotRun and a Retry-After
-  /// that is spread so that refused callers don't return together.
+  /// with random jitter, so that rejected callers don't all retry at the same time.
   Result<AdmissionOutcome> admit(const AdmissionRequest& request, Time now);
 
-  /// Tells how many more requests the pool's engines can take now (see freePlaces()). A pool that
-  /// was never told of is not limited.
+  /// Sets how many more requests the pool's engines can take now (see freePlaces()). A pool whose
+  /// capacity was never set is unlimited.
   void setCapacity(const PoolId& pool, int64_t freePlaces, Time now);
-  /// A request ended; its place and its row's concurrency are free again.
+  /// Frees the engine slot and the row's concurrency slot of a request that ended.
   void release(const AdmissionRequest& request, Time now);
-  /// A waiting caller went away.
-  /// @return false where its decision was made already: it has to be taken and, if granted, ended.
+  /// Removes a queued request whose caller disconnected.
+  /// @return false if the ticket was already decided: the caller must still collect the decision
+  /// with takeDecisions() and, if it is a grant, call release().
   bool cancel(TicketId ticket, Time now);
-  /// @return grants and refusals that are due; the callers of these tickets have to be told now.
-  /// Call it after setCapacity(), release(), admit() and every few tens of milliseconds.
+  /// @return the decisions made since the last call; notify the callers of these tickets now.
+  /// Call it after setCapacity(), release() and admit(), and every few tens of milliseconds.
   std::vector<TicketDecision> takeDecisions(Time now);
 
-  /// Counts a first try for the retry budget.
+  /// Counts a first attempt towards the retry budget.
   void countAttempt(Time now);
-  /// @return true where the router may add a retry by itself.
+  /// @return true if the budget allows the router a retry of its own; the retry is then counted.
   bool tryRetry(Time now);
 
   size_t waiting(const PoolId& pool) const;
@@ -69,7 +70,7 @@
     AdmissionQueue queue;
     bool limited = false;
     int64_t freePlaces = 0;
-    DecayingRate starts;  ///< Requests that started, by which a newcomer's wait is estimated.
+    DecayingRate starts;  ///< Rate of starts, used to estimate the wait of a new request.
   };
 
   Pool& poolOf(const PoolId& pool);
@@ -79,7 +80,7 @@
   void grantWaiting(Pool& pool, Time now);
   void refuse(const QueuedRequest& queued, const std::string& what, Duration wait, Time now);
   Error overloadError(const std::string& what, Duration wait);
-  Duration spread(Duration retryAfter);
+  Duration addJitter(Duration retryAfter);
 
   const Knobs knobs_;
   mutable RankedMutex mutex_{LockRank::kAdmission};
--- a/src/admission/admission_queue.cpp
+++ b/src/admission/admission_queue.cpp
@@ -70,8 +70,8 @@
 
 std::optional<size_t> AdmissionQueue::nextBand(Time now) {
   const auto first = firstBand();
-  const bool overdueTurn = (grants_ + 1) % overdueInterval_ == 0;
-  if (first && overdueTurn) {
+  const bool isOverdueGrant = (grants_ + 1) % overdueInterval_ == 0;
+  if (first && isOverdueGrant) {
     return nextOverdueBand(*first, now).value_or(*first);
   }
   return first;
--- a/src/admission/admission_queue.h
+++ b/src/admission/admission_queue.h
@@ -1,8 +1,9 @@
 /// @file
-/// Requests that wait for a place at one pool of engines. Interactive work goes before deferred
-/// work, lower priority numbers before higher ones, and tenants of one priority share by weight.
-/// So that neither deferred work nor low priorities starve, every few grants one goes in turn to a
-/// band behind the first in which a request has waited for half of its allowed time.
+/// Queue of the requests that wait for a free slot in one pool of engines. Interactive requests go
+/// before deferred ones, lower priority numbers before higher ones, and tenants of equal priority
+/// share by weight. To prevent starvation, every overdueGrantInterval-th grant goes to a lower band
+/// that has an overdue request, that is, one that has waited for half of its allowed time; such
+/// bands are served round-robin.
 #pragma once
 
 #include <array>
@@ -23,10 +24,10 @@
   TicketId ticket;
   AdmissionRequest request;
   Time enqueuedAt;
-  Time latestStart;  ///< Starting later, it would miss its deadline or its longest wait.
+  Time latestStart;  ///< A later start would exceed maxWait or miss the deadline.
 };
 
-/// @return the latest start that still meets the request's longest wait and deadline.
+/// @return the latest start that respects both the request's maxWait and its deadline.
 Time latestStartOf(const AdmissionRequest& request, Time now);
 
 /// Not thread-safe.
@@ -34,17 +35,18 @@
  public:
   explicit AdmissionQueue(const Knobs& knobs);
 
-  /// Adds a request. Where the queue is full, the newest request of a lower band makes place.
-  /// @return the request that has to be refused: another one, this one, or none.
+  /// Adds a request. If the queue is full, evicts the newest request of the lowest band below it.
+  /// @return the request to reject: the evicted one, `queued` itself if none could be evicted, or
+  /// none.
   std::optional<QueuedRequest> push(const QueuedRequest& queued);
-  /// Takes out the request that is next, or none. Call takeExpired() first.
+  /// Removes and returns the next request to start, if any. Call takeExpired() first.
   std::optional<QueuedRequest> pop(Time now);
-  /// Takes out the requests whose latest start has passed.
+  /// Removes and returns the requests whose latest start has passed.
   std::vector<QueuedRequest> takeExpired(Time now);
-  /// Takes out one request, for a caller that went away.
+  /// Removes the request of a caller that disconnected.
   std::optional<QueuedRequest> remove(TicketId ticket);
 
-  /// @return requests that would go before this one, were it added now.
+  /// @return an estimate of how many queued requests would start before this one if added now.
   double requestsAhead(const AdmissionRequest& request) const;
   size_t size() const { return waiting_.size(); }
 
@@ -76,7 +78,7 @@
   std::unordered_map<TicketId, QueuedRequest> waiting_;
   std::set<TimedTicket> byLatestStart_;
   std::array<std::set<TimedTicket>, kBands> byOverdue_;
-  size_t lastOverdueBand_ = 0;  ///< Bands take turns, going up from here.
+  size_t lastOverdueBand_ = 0;  ///< The round-robin search starts at the band after this one.
 };
 
 }  // namespace fernmoor
--- a/src/admission/admission_request.cpp
+++ b/src/admission/admission_request.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-/// Application engines are one pool: any of them carries out any operation.
+/// All application engines form one pool, because any of them can run any operation.
 constexpr const char* kApplicationPool = "application";
 
 }  // namespace
--- a/src/admission/admission_request.h
+++ b/src/admission/admission_request.h
@@ -1,5 +1,5 @@
 /// @file
-/// A request as admission sees it, and what admission says.
+/// Input and output types of admission control.
 #pragma once
 
 #include <cstdint>
@@ -12,53 +12,53 @@
 
 namespace fernmoor {
 
-/// One waiting request of this node.
+/// Identifies a queued request on this node.
 using TicketId = NumberId<struct TicketIdTag>;
-/// Back ends that can stand in for one another: a model's engines, or the application engines.
+/// A set of interchangeable back ends: the engines of one model, or the application engines.
 using PoolId = NamedId<struct PoolIdTag>;
 
-/// What a rate counts.
+/// What a rate limit counts.
 enum class LimitUnit { kRequests, kTokens };
 
-/// @return the unit as it reads in a message: "requests", "tokens".
+/// @return the plural noun for messages: "requests" or "tokens".
 const char* toString(LimitUnit unit);
 
-/// Limits of a row that hold over all nodes. A row without a service stands for all of a tenant's
-/// requests.
+/// Limits of a row, enforced across all nodes. A row without a service covers all requests of the
+/// tenant.
 struct RowLimits {
   RowKey row;
   LimitUnit unit = LimitUnit::kRequests;
-  double ratePerSecond = 0;  ///< In units; 0: no limit.
-  double burst = 1;          ///< In units, beyond the rate.
-  int64_t concurrency = 0;   ///< 0: no limit.
-  uint64_t rowVersion = 0;   ///< Of two nodes' limits, those of the newer row hold.
+  double ratePerSecond = 0;  ///< In units of `unit`; 0 means no limit.
+  double burst = 1;          ///< Capacity of the token bucket, in units of `unit`.
+  int64_t concurrency = 0;   ///< Requests in flight; 0 means no limit.
+  uint64_t rowVersion = 0;   ///< If nodes disagree on the limits, the newer version applies.
 };
 
 struct AdmissionRequest {
   RowLimits limits;
   PoolId pool;
   int64_t priority = 5;  ///< 0 (first) to 9 (last).
-  double weight = 1.0;   ///< Share of the tenant within the priority.
+  double weight = 1.0;   ///< The tenant's weight in fair queueing within its priority.
   DeadlineClass deadlineClass = DeadlineClass::kInteractive;
   Duration maxWait{10000000};   ///< Longest time in the queue.
-  Time deadline;                ///< When the last byte is due.
-  Duration expectedService{0};  ///< Time it will need once it starts; it must end by the deadline.
-  double cost = 1.0;            ///< Work that counts against the tenant's share, e.g. tokens.
+  Time deadline;                ///< When the last byte of the answer is due.
+  Duration expectedService{0};  ///< From start to end; it must end by the deadline.
+  double cost = 1.0;            ///< Work charged to the tenant in fair queueing, e.g. tokens.
 };
 
-/// @return the facts of a request of this row that arrived at `now`.
+/// @return the admission parameters of a request for this row that arrived at `now`.
 AdmissionRequest admissionRequestOf(const Row& row, Time now);
 
-/// The request may start now.
+/// The request may start immediately.
 struct Admitted {};
-/// The request waits; its ticket's decision comes from a later call.
+/// The request waits; AdmissionController::takeDecisions() will return the decision on its ticket.
 struct Queued {
   TicketId ticket;
   Duration estimatedWait{0};
 };
 using AdmissionOutcome = std::variant<Admitted, Queued>;
 
-/// The end of a ticket's wait.
+/// The grant or rejection that ends a queued request's wait.
 struct TicketDecision {
   TicketId ticket;
   Result<Admitted> result;
--- a/src/admission/concurrency_limit.h
+++ b/src/admission/concurrency_limit.h
@@ -1,5 +1,5 @@
 /// @file
-/// A bound on requests in flight.
+/// Limit on the number of requests in flight.
 #pragma once
 
 #include <algorithm>
@@ -7,14 +7,14 @@
 
 namespace fernmoor {
 
-/// Not thread-safe. A limit of 0 means none.
+/// Not thread-safe. A limit of 0 means no limit.
 class ConcurrencyLimit {
  public:
   explicit ConcurrencyLimit(int64_t limit) : limit_(limit) {}
 
-  /// Changes the limit; requests in flight beyond a lower one are left to end.
+  /// Changes the limit. Requests in flight above a lowered limit are not cancelled.
   void setLimit(int64_t limit) { limit_ = limit; }
-  /// @return false where the limit is reached.
+  /// Counts a request in flight. @return false, counting nothing, if the limit is reached.
   bool tryAcquire() {
     if (limit_ > 0 && inFlight_ >= limit_) {
       return false;
--- a/src/admission/distributed_limiter.cpp
+++ b/src/admission/distributed_limiter.cpp
@@ -8,34 +8,37 @@
 namespace {
 
 constexpr Duration kDemandHalfLife{1000000};
-/// A node sees a request of a tenant every few seconds, so the shares are taken over as long.
+/// A single node sees a request of a given tenant only every few seconds, so the demand that the
+/// owner divides the rate by is averaged over a similar time.
 constexpr Duration kUsualDemandHalfLife{4000000};
-/// A row that wasn't used for so many lease times is forgotten.
+/// Lease times without use after which a row is removed.
 constexpr int64_t kIdleLeaseTimes = 10;
-/// Without an answer for so long a node goes on with its share: some round trips beyond the first
-/// repetition of its question.
-constexpr Duration kAnswerPatience{600000};
-/// Shares of nodes without an owner gather for so long where they aren't used: large requests come
-/// to a node seldom.
-constexpr double kFallbackGatherSeconds = 1.5;
-/// In units: rounding of sums must not cost a whole request.
+/// Without an answer for this long (600 ms) a node falls back to its own share. This leaves several
+/// round trips after the first repetition of the question.
+constexpr Duration kAnswerTimeout{600000};
+/// Seconds for which a node without an owner may accumulate unused tokens of its share. Large
+/// requests reach a single node rarely, so a shorter time would never cover one.
+constexpr double kFallbackBurstSeconds = 1.5;
+/// In limit units; keeps rounding errors of sums from rejecting a whole request.
 constexpr double kTolerance = 1e-3;
-/// In units a second, where the owner grants none: keeps the time to come back finite.
-constexpr double kLeastRate = 0.1;
-/// Below, what nodes hold would be more than what it saves in questions: many nodes with a few
-/// requests each would hold the whole burst, and refuse one another's.
-constexpr double kFewestRequestsForStock = 8;
-/// A question without an answer is repeated after so many ask intervals.
-constexpr int64_t kRepeatIntervals = 2;
-/// Told where requests in flight have to end first; their length isn't known here.
+/// In limit units per second; lower bound that keeps Retry-After finite when the owner grants none.
+constexpr double kMinimumRatePerSecond = 0.1;
+/// Expected requests within limitHorizonSeconds below which a node holds no tokens in reserve. With
+/// a reserve, many nodes with a few requests each would together hold the whole burst and cause one
+/// another's requests to be rejected, for little saving in messages.
+constexpr double kMinimumRequestsForReserve = 8;
+/// Ask intervals after which an unanswered question is repeated.
+constexpr int64_t kRepeatAskIntervals = 2;
+/// Retry-After (500 ms) when requests in flight have to end first; their duration is not known
+/// here.
 constexpr Duration kConcurrencyRetryAfter{500000};
 
 }  // namespace
 
 DistributedLimiter::DistributedLimiter(const Knobs& knobs) : knobs_(knobs) {}
 
-Result<Done> DistributedLimiter::tryAcquire(const RowLimits& limits, double cost, Spending spending,
-                                            Time now) {
+Result<Done> DistributedLimiter::tryAcquire(const RowLimits& limits, double cost,
+                                            DebtPolicy debtPolicy, Time now) {
   if (limits.ratePerSecond <= 0 && limits.concurrency <= 0) {
     return Done{};
   }
@@ -54,7 +57,7 @@
     ++use.refusedPlaces;
     return concurrencyLimitError(limits, kConcurrencyRetryAfter);
   }
-  if (limits.ratePerSecond > 0 && !takeTokens(use, cost, spending, now)) {
+  if (limits.ratePerSecond > 0 && !takeTokens(use, cost, debtPolicy, now)) {
     return rateLimitError(limits, timeUntil(cost, use));
   }
   ++use.inFlight;
@@ -69,36 +72,38 @@
   }
 }
 
-bool DistributedLimiter::hasOwner(const RowUse& use, Time now) const {
-  // An owner that never answered isn't waited for as long as one that did.
-  const Duration patience =
-      use.hadGrants ? knobs_.limitLeaseTime : knobs_.limitAskInterval * kRepeatIntervals;
-  return now - use.answeredAt <= patience;
+bool DistributedLimiter::isLeaseValid(const RowUse& use, Time now) const {
+  // An owner that has never answered is given less time than one that has.
+  const Duration timeout =
+      use.hadGrants ? knobs_.limitLeaseTime : knobs_.limitAskInterval * kRepeatAskIntervals;
+  return now - use.answeredAt <= timeout;
 }
 
-bool DistributedLimiter::isAnswered(const RowUse& use, Time now) const {
-  return !use.awaitsAnswer || now - use.unansweredSince <= kAnswerPatience;
+bool DistributedLimiter::isOwnerAnswering(const RowUse& use, Time now) const {
+  return !use.awaitsAnswer || now - use.unansweredSince <= kAnswerTimeout;
 }
 
-bool DistributedLimiter::maySpend(const RowUse& use, double cost, Spending spending,
+bool DistributedLimiter::maySpend(const RowUse& use, double cost, DebtPolicy debtPolicy,
                                   Time now) const {
   if (use.tokens + kTolerance >= cost) {
     return true;
   }
-  if (spending == Spending::kStockOnly) {
+  if (debtPolicy == DebtPolicy::kForbidDebt) {
     return false;
   }
-  if (!isAnswered(use, now)) {
-    // Its share alone may never gather what a large request costs; the debt is paid from it.
+  if (!isOwnerAnswering(use, now)) {
+    // The share alone may never add up to the cost of a large request, so any positive balance
+    // admits one; the resulting debt is repaid from the share.
     return use.tokens > 0;
   }
-  // While the row isn't known to be short, a node may run ahead of the owner's answer.
-  return !use.isShort && use.tokens - cost >= -std::max(cost, overdraft(use));
+  // Until the owner reports a shortage, the node may go into debt before the owner answers.
+  return !use.isShort && use.tokens - cost >= -std::max(cost, maximumDebt(use));
 }
 
-bool DistributedLimiter::takeTokens(RowUse& use, double cost, Spending spending, Time now) const {
+bool DistributedLimiter::takeTokens(RowUse& use, double cost, DebtPolicy debtPolicy,
+                                    Time now) const {
   addFallbackTokens(use, now);
-  if (!maySpend(use, cost, spending, now)) {
+  if (!maySpend(use, cost, debtPolicy, now)) {
     return false;
   }
   use.tokens -= cost;
@@ -112,21 +117,21 @@
   }
 }
 
-double DistributedLimiter::overdraft(const RowUse& use) const {
+double DistributedLimiter::maximumDebt(const RowUse& use) const {
   return std::max(1.0, use.limits.burst / static_cast<double>(share_.nodes));
 }
 
 void DistributedLimiter::addFallbackTokens(RowUse& use, Time now) const {
-  if (isAnswered(use, now)) {
+  if (isOwnerAnswering(use, now)) {
     use.fallbackAt = now;
     return;
   }
-  // The owner counts on it that a silent node goes on with its last grant; one that was idle then
-  // has none, and its callers none but it.
+  // The owner assumes that a silent node continues at its last granted rate. A node that was idle
+  // has no such rate, and its callers have no other source, so it uses at least its equal share.
   const double share =
       std::max(use.grantedRate / use.limits.ratePerSecond, 1.0 / static_cast<double>(share_.nodes));
-  const double gathered = use.limits.ratePerSecond * kFallbackGatherSeconds;
-  const double burst = std::max(1.0, std::max(use.limits.burst, gathered) * share);
+  const double minimumBurst = use.limits.ratePerSecond * kFallbackBurstSeconds;
+  const double burst = std::max(1.0, std::max(use.limits.burst, minimumBurst) * share);
   const double added = toSeconds(now - use.fallbackAt) * use.limits.ratePerSecond * share;
   use.tokens = std::min(std::max(burst, use.tokens), use.tokens + added);
   use.fallbackAt = now;
@@ -138,11 +143,11 @@
   const double rate = use.grantedRate > 0
                           ? use.grantedRate
                           : use.limits.ratePerSecond / static_cast<double>(share_.nodes);
-  return fromSeconds(std::max(0.0, tokens - use.tokens) / std::max(rate, kLeastRate));
+  return fromSeconds(std::max(0.0, tokens - use.tokens) / std::max(rate, kMinimumRatePerSecond));
 }
 
 int64_t DistributedLimiter::placeLimit(const RowUse& use, Time now) const {
-  if (use.hasPlaces && hasOwner(use, now)) {
+  if (use.hasPlaces && isLeaseValid(use, now)) {
     return use.places;
   }
   const int64_t even = use.limits.concurrency / share_.nodes;
@@ -160,8 +165,8 @@
   use.awaitsAnswer = false;
   use.answeredAt = now;
   use.hadGrants = true;
-  // Where it went on without an answer meanwhile, the grant does not come on top of that.
-  use.tokens = std::max(use.tokens, std::min(use.tokens + grant.tokens, use.stockAsked));
+  // Tokens added by the fallback while the answer was outstanding count towards the grant.
+  use.tokens = std::max(use.tokens, std::min(use.tokens + grant.tokens, use.requestedLevel));
   use.grantedRate = grant.ratePerSecond;
   use.isShort = grant.tokens + 1.0 < use.question.wantedTokens;
   if (grant.placesConfirmed) {
@@ -205,9 +210,9 @@
   return questions;
 }
 
-double DistributedLimiter::wantedStock(const RowUse& use, Time now) const {
+double DistributedLimiter::targetTokens(const RowUse& use, Time now) const {
   const double requests = use.requests.perSecond(now, kDemandHalfLife);
-  if (requests * knobs_.limitHorizonSeconds < kFewestRequestsForStock) {
+  if (requests * knobs_.limitHorizonSeconds < kMinimumRequestsForReserve) {
     return 1.0;
   }
   return use.demand.perSecond(now, kDemandHalfLife) * knobs_.limitHorizonSeconds;
@@ -220,23 +225,24 @@
 bool DistributedLimiter::isQuestionDue(const RowUse& use, Time now) const {
   const Duration sinceAsked = now - use.askedAt;
   if (use.awaitsAnswer) {
-    return sinceAsked >= knobs_.limitAskInterval * kRepeatIntervals;
+    return sinceAsked >= knobs_.limitAskInterval * kRepeatAskIntervals;
   }
   if (isIdle(use, now)) {
-    return use.question.demandPerSecond > 0;  // Once more: nothing is wanted any longer.
+    return use.question.demandPerSecond > 0;  // One last report that demand has ceased.
   }
   const bool placesDue = use.limits.concurrency > 0 &&
                          (use.refusedPlaces > 0 || sinceAsked >= knobs_.limitReportInterval);
-  // A node whose stock lasts reports all the same: one that is silent counts as cut off.
-  const bool tokensDue = use.limits.ratePerSecond > 0 && (use.tokens < wantedStock(use, now) / 2 ||
+  // A node that still has enough tokens reports anyway; the owner treats a silent node as
+  // unreachable.
+  const bool tokensDue = use.limits.ratePerSecond > 0 && (use.tokens < targetTokens(use, now) / 2 ||
                                                           sinceAsked >= knobs_.limitReportInterval);
-  const bool early = !use.hadGrants;  // The first question goes out at once.
+  const bool early = !use.hadGrants;  // The first question is sent immediately.
   return (placesDue || tokensDue) && (early || sinceAsked >= knobs_.limitAskInterval);
 }
 
 LimitDemand DistributedLimiter::makeQuestion(RowUse& use, double needed, Time now) const {
   use.askedAt = now;
-  if (use.awaitsAnswer && isAnswered(use, now)) {
+  if (use.awaitsAnswer && isOwnerAnswering(use, now)) {
     return use.question;
   }
   if (!use.awaitsAnswer) {
@@ -249,8 +255,8 @@
   question.sequence = ++use.sequence;
   const double demand = use.usualDemand.perSecond(now, kUsualDemandHalfLife);
   question.demandPerSecond = isIdle(use, now) ? 0.0 : demand;
-  use.stockAsked = std::max({wantedStock(use, now), needed, use.tokens});
-  question.wantedTokens = use.stockAsked - use.tokens;
+  use.requestedLevel = std::max({targetTokens(use, now), needed, use.tokens});
+  question.wantedTokens = use.requestedLevel - use.tokens;
   question.neededTokens = std::max(0.0, needed - use.tokens);
   question.inFlight = use.inFlight;
   question.heldPlaces = std::max(use.inFlight, placeLimit(use, now));
--- a/src/admission/distributed_limiter.h
+++ b/src/admission/distributed_limiter.h
@@ -1,6 +1,7 @@
 /// @file
-/// A node's side of limits that hold over all nodes: it spends tokens and places that the row's
-/// owner gave it, and an equal share of the limit while the owner can't be reached.
+/// Client side of the distributed rate and concurrency limits. A node spends the tokens (rate) and
+/// places (concurrency slots) that the row's owner granted to it, and falls back to an equal share
+/// of the limit while the owner is unreachable.
 #pragma once
 
 #include <map>
@@ -14,16 +15,16 @@
 
 namespace fernmoor {
 
-/// The node's equal share of a limit, for use without the owner.
+/// The node's equal share of every limit, used while the owner is unreachable.
 struct EqualShare {
-  int64_t nodes = 1;  ///< That share the limit, absent ones included.
-  int64_t rank = 0;   ///< Of this node among them; the first ones get what doesn't divide evenly.
+  int64_t nodes = 1;  ///< Nodes that share the limit, including those that are currently absent.
+  int64_t rank = 0;   ///< Of this node among them; the lowest ranks share the remainder.
 };
 
-/// What a request may be let pass on.
-enum class Spending {
-  kStockOnly,  ///< On what this node holds.
-  kInAdvance,  ///< Also ahead of the owner's answer, within bounds.
+/// Whether a request may be admitted on tokens that the node does not hold yet.
+enum class DebtPolicy {
+  kForbidDebt,  ///< Only on tokens that this node holds.
+  kAllowDebt,   ///< Also before the owner answers, up to a bounded debt.
 };
 
 /// Not thread-safe.
@@ -32,26 +33,28 @@
   explicit DistributedLimiter(const Knobs& knobs);
 
   /// @param cost in the unit of the rate.
-  Result<Done> tryAcquire(const RowLimits& limits, double cost, Spending spending, Time now);
-  /// Takes back what a request cost that did not run.
+  Result<Done> tryAcquire(const RowLimits& limits, double cost, DebtPolicy debtPolicy, Time now);
+  /// Returns the tokens of a request that did not run after all.
   void giveBack(const RowKey& row, double cost);
   void release(const RowKey& row, Time now);
-  /// Takes an owner's answer. Answers to former questions are ignored.
+  /// Applies the owner's answer. Answers to any but the latest question are ignored.
   void onGrant(const LimitGrant& grant, Time now);
-  /// Sets this node's share; the same for all rows.
+  /// Sets this node's equal share; it applies to all rows.
   void setEqualShare(EqualShare share) { share_ = share; }
 
-  /// @return the questions that are due now; those without an answer are repeated.
+  /// @return the questions to send now, including repetitions of unanswered ones.
   std::vector<LimitDemand> dueQuestions(Time now);
   /// @param needed cost of a request that waits for the answer.
-  /// @return the question about one row, if one may be asked now.
+  /// @return the question to send now about one row; none if the row is unknown or an answer is
+  /// still outstanding.
   std::optional<LimitDemand> urgentQuestion(const RowKey& row, double needed, Time now);
-  /// @return whether the last question about the row has no answer yet.
+  /// @return whether the latest question about the row is still unanswered.
   bool awaitsAnswer(const RowKey& row) const;
-  /// @return whether the owner gave less than was wanted.
+  /// @return whether the owner last granted fewer tokens than requested.
   bool isShort(const RowKey& row) const;
+  /// @return the number of rows for which isShort() holds.
   size_t shortCount() const;
-  /// Forgets rows that are neither used nor asked for.
+  /// Removes rows that have been unused for a while and have no requests in flight.
   void expire(Time now);
 
   int64_t inFlight(const RowKey& row) const;
@@ -60,41 +63,41 @@
  private:
   struct RowUse {
     RowLimits limits;
-    double tokens = 0;    ///< Negative: spent in advance.
-    DecayingRate demand;  ///< By which the stock is measured.
-    DecayingRate requests;
-    DecayingRate usualDemand;  ///< Smoother: by which the owner shares the rate out.
-    double grantedRate = 0;    ///< That the owner lets this node count on.
-    bool isShort = false;      ///< The owner gave less than was wanted.
+    double tokens = 0;         ///< Held; negative while in debt.
+    DecayingRate demand;       ///< Determines how many tokens the node tries to hold.
+    DecayingRate requests;     ///< Same half-life as `demand`, counted in requests.
+    DecayingRate usualDemand;  ///< Longer half-life: what the owner divides the rate by.
+    double grantedRate = 0;    ///< Share of the rate that the owner promised this node.
+    bool isShort = false;      ///< The owner granted fewer tokens than requested.
     int64_t inFlight = 0;
-    int64_t refusedPlaces = 0;  ///< Since the last question.
+    int64_t refusedPlaces = 0;  ///< Rejected for lack of places since the last question.
     int64_t places = 0;
-    bool hasPlaces = false;  ///< The owner confirmed `places`.
+    bool hasPlaces = false;  ///< `places` was confirmed by the owner.
     bool hadGrants = false;
     uint32_t sequence = 0;
     bool awaitsAnswer = false;
-    LimitDemand question;   ///< The last one, to be repeated.
-    double stockAsked = 0;  ///< The stock that the question was to fill up to.
-    Time askedAt;           ///< Last, repeated questions included.
-    Time unansweredSince;   ///< While an answer is awaited: when the question was first asked.
-    Time answeredAt;        ///< Or when the row was first used here.
-    Time fallbackAt;        ///< Until when the equal share was counted.
+    LimitDemand question;       ///< The latest one, kept for repetition.
+    double requestedLevel = 0;  ///< Token level that the question asked to be filled up to.
+    Time askedAt;               ///< When the latest question, or its repetition, was sent.
+    Time unansweredSince;       ///< When the outstanding question was first sent.
+    Time answeredAt;            ///< Time of the last answer; initially, of the row's first use.
+    Time fallbackAt;            ///< Time up to which fallback tokens were added.
     Time usedAt;
   };
 
-  /// @return whether the owner can be taken to know this node's use.
-  bool hasOwner(const RowUse& use, Time now) const;
-  /// @return whether this node's questions are answered, as far as is known.
-  bool isAnswered(const RowUse& use, Time now) const;
+  /// @return whether the owner answered recently enough that its grant of places still applies.
+  bool isLeaseValid(const RowUse& use, Time now) const;
+  /// @return false once a question has been unanswered for longer than kAnswerTimeout.
+  bool isOwnerAnswering(const RowUse& use, Time now) const;
   bool isQuestionDue(const RowUse& use, Time now) const;
   LimitDemand makeQuestion(RowUse& use, double needed, Time now) const;
   bool isIdle(const RowUse& use, Time now) const;
-  double wantedStock(const RowUse& use, Time now) const;
-  double overdraft(const RowUse& use) const;
+  double targetTokens(const RowUse& use, Time now) const;
+  double maximumDebt(const RowUse& use) const;
   int64_t placeLimit(const RowUse& use, Time now) const;
   void addFallbackTokens(RowUse& use, Time now) const;
-  bool takeTokens(RowUse& use, double cost, Spending spending, Time now) const;
-  bool maySpend(const RowUse& use, double cost, Spending spending, Time now) const;
+  bool takeTokens(RowUse& use, double cost, DebtPolicy debtPolicy, Time now) const;
+  bool maySpend(const RowUse& use, double cost, DebtPolicy debtPolicy, Time now) const;
   Duration timeUntil(double tokens, const RowUse& use) const;
 
   const Knobs knobs_;
--- a/src/admission/fair_band.cpp
+++ b/src/admission/fair_band.cpp
@@ -6,8 +6,9 @@
 
 namespace {
 
-/// Idle flows that are kept so that a tenant can't lose its debt by emptying its queue.
-constexpr size_t kRememberedFlows = 1024;
+/// Number of flows kept. Empty flows are retained so that a tenant cannot reset its start tag by
+/// emptying its queue.
+constexpr size_t kRetainedFlows = 1024;
 
 }  // namespace
 
@@ -43,14 +44,14 @@
   --size_;
   if (flow.items.empty()) {
     activeWeight_ -= flow.weight;
-    forgetIdleFlow(tenant);
+    eraseIdleFlow(tenant);
   } else {
     heads_.insert(Head{flow.startTag, tenant});
   }
 }
 
-void FairBand::forgetIdleFlow(const TenantId& tenant) {
-  if (flows_.size() > kRememberedFlows || flows_[tenant].startTag <= virtualTime_) {
+void FairBand::eraseIdleFlow(const TenantId& tenant) {
+  if (flows_.size() > kRetainedFlows || flows_[tenant].startTag <= virtualTime_) {
     flows_.erase(tenant);
   }
 }
@@ -60,7 +61,8 @@
   const bool active = found != flows_.end() && !found->second.items.empty();
   const auto own = active ? static_cast<double>(found->second.items.size()) : 0.0;
   const double total = activeWeight_ + (active ? 0.0 : weight);
-  // Its own ones, and for each of them and itself the others' share.
+  // The tenant's own tickets, plus the share that other tenants get for each of them and for this
+  // one.
   const double others = (own + 1.0) * std::max(0.0, total / weight - 1.0);
   return std::min(own + others, static_cast<double>(size_));
 }
--- a/src/admission/fair_band.h
+++ b/src/admission/fair_band.h
@@ -1,6 +1,6 @@
 /// @file
-/// Weighted fair queueing between the tenants of one priority: start-time fair queueing (P. Goyal,
-/// H. Vin, H. Cheng, 1996), which needs no knowledge of the server's speed.
+/// Weighted fair queueing between the tenants of one priority band. Implements start-time fair
+/// queueing (P. Goyal, H. Vin, H. Cheng, 1996), which does not need to know the server's rate.
 #pragma once
 
 #include <cstdint>
@@ -12,19 +12,19 @@
 
 namespace fernmoor {
 
-/// Order of service inside one band. Not thread-safe.
+/// Order of service within one priority band. Not thread-safe.
 class FairBand {
  public:
-  /// Adds a ticket at the end of its tenant's flow.
+  /// Appends a ticket to its tenant's flow. A weight takes effect only when the flow was empty.
   void push(const TenantId& tenant, double weight, double cost, TicketId ticket);
-  /// @return the ticket that is next; the band must not be empty.
+  /// @return the next ticket to serve. The band must not be empty.
   TicketId front() const;
-  /// Takes out a ticket, served or not. A served one is charged to its tenant.
+  /// Removes a ticket. If it was served, its cost is charged to the tenant.
   void remove(const TenantId& tenant, TicketId ticket, bool served);
 
   bool empty() const { return size_ == 0; }
   size_t size() const { return size_; }
-  /// @return tickets that go before one that this tenant would push now.
+  /// @return an estimate of how many tickets would be served before one pushed by this tenant now.
   double ticketsAhead(const TenantId& tenant, double weight) const;
 
  private:
@@ -34,7 +34,7 @@
   };
   struct Flow {
     double weight = 1.0;
-    double startTag = 0;  ///< Virtual time at which the first item may start.
+    double startTag = 0;  ///< Virtual start time of the first item.
     std::list<Item> items;
   };
   struct Head {
@@ -45,12 +45,12 @@
     }
   };
 
-  void forgetIdleFlow(const TenantId& tenant);
+  void eraseIdleFlow(const TenantId& tenant);
 
   std::map<TenantId, Flow> flows_;
-  std::set<Head> heads_;  ///< Flows with items, by start tag.
+  std::set<Head> heads_;  ///< Non-empty flows, ordered by start tag.
   double virtualTime_ = 0;
-  double activeWeight_ = 0;
+  double activeWeight_ = 0;  ///< Sum of the weights of non-empty flows.
   size_t size_ = 0;
 };
 
--- a/src/admission/fair_shares.h
+++ b/src/admission/fair_shares.h
@@ -1,6 +1,6 @@
 /// @file
-/// Max-min fair shares: nobody gets more than it asks for, and what is left is split evenly among
-/// those that ask for more. D. Bertsekas, R. Gallager, "Data Networks", section 6.5.
+/// Max-min fair allocation: no share exceeds its demand, and the remaining capacity is divided
+/// evenly among the unsatisfied demands. D. Bertsekas, R. Gallager, "Data Networks", section 6.5.
 #pragma once
 
 #include <cstdint>
@@ -11,7 +11,8 @@
 /// @return the share of each demand; their sum is at most the capacity.
 std::vector<double> maxMinShares(const std::vector<double>& demands, double capacity);
 
-/// Like the above in whole places; what no demand needs is spread evenly as headroom.
+/// Integer version for places (concurrency slots). Capacity left after all demands are met is
+/// distributed evenly as headroom, so shares may exceed demands.
 std::vector<int64_t> placeShares(const std::vector<int64_t>& demands, int64_t capacity);
 
 }  // namespace fernmoor
--- a/src/admission/limit_codec.cpp
+++ b/src/admission/limit_codec.cpp
@@ -8,11 +8,11 @@
 
 namespace {
 
-/// Largest rate, burst or number of tokens taken from a message.
-constexpr double kLargestNumber = 1e9;
+/// Largest rate, burst or token count accepted from a message; larger values are clamped.
+constexpr double kMaximumNumber = 1e9;
 
-double bounded(double value) {
-  return std::isfinite(value) ? std::clamp(value, 0.0, kLargestNumber) : 0.0;
+double clampFinite(double value) {
+  return std::isfinite(value) ? std::clamp(value, 0.0, kMaximumNumber) : 0.0;
 }
 
 uint32_t toUnsigned(int64_t value) {
@@ -42,13 +42,13 @@
   LimitDemand demand;
   demand.limits.row = RowKey{ServiceId(message.service()), TenantId(message.tenant())};
   demand.limits.rowVersion = message.row_version();
-  demand.limits.ratePerSecond = bounded(message.rate_per_second());
-  demand.limits.burst = bounded(message.burst());
+  demand.limits.ratePerSecond = clampFinite(message.rate_per_second());
+  demand.limits.burst = clampFinite(message.burst());
   demand.limits.concurrency = message.concurrency();
   demand.sequence = message.sequence();
-  demand.demandPerSecond = bounded(message.demand_per_second());
-  demand.wantedTokens = bounded(message.wanted_tokens());
-  demand.neededTokens = bounded(message.needed_tokens());
+  demand.demandPerSecond = clampFinite(message.demand_per_second());
+  demand.wantedTokens = clampFinite(message.wanted_tokens());
+  demand.neededTokens = clampFinite(message.needed_tokens());
   demand.inFlight = message.in_flight();
   demand.heldPlaces = message.held_places();
   demand.wantedPlaces = message.wanted_places();
@@ -70,8 +70,8 @@
   LimitGrant grant;
   grant.row = RowKey{ServiceId(message.service()), TenantId(message.tenant())};
   grant.sequence = message.sequence();
-  grant.tokens = bounded(message.tokens());
-  grant.ratePerSecond = bounded(message.rate_per_second());
+  grant.tokens = clampFinite(message.tokens());
+  grant.ratePerSecond = clampFinite(message.rate_per_second());
   grant.places = message.places();
   grant.placesConfirmed = message.places_confirmed();
   return grant;
--- a/src/admission/limit_codec.h
+++ b/src/admission/limit_codec.h
@@ -1,5 +1,5 @@
 /// @file
-/// Messages of the limit role as they cross the network.
+/// Conversion of the limit role's messages to and from protobuf.
 #pragma once
 
 #include "admission/limit_owner.h"
@@ -8,7 +8,7 @@
 namespace fernmoor {
 
 void encodeDemand(const LimitDemand& demand, proto::LimitDemand& message);
-/// Takes numbers only within sensible bounds; what is not a number counts as 0.
+/// Clamps numbers to safe bounds; a NaN or infinite value becomes 0.
 LimitDemand decodeDemand(const proto::LimitDemand& message);
 void encodeGrant(const LimitGrant& grant, proto::LimitGrant& message);
 LimitGrant decodeGrant(const proto::LimitGrant& message);
--- a/src/admission/limit_owner.cpp
+++ b/src/admission/limit_owner.cpp
@@ -9,23 +9,24 @@
 
 namespace {
 
-/// A new owner learns what the nodes hold from their reports; until then it gives no new places.
-constexpr int64_t kLearningReports = 2;
-/// A node's fair part of a short row may gather for so long.
-constexpr double kFairShareSeconds = 0.5;
-/// A node that uses a row reports about once a second; one that is silent for longer may be cut
-/// off, and goes on with what it was last granted.
+/// Report intervals for which a new owner only collects what the nodes hold and confirms no places.
+constexpr int64_t kLearningReportIntervals = 2;
+/// Seconds for which a node may accumulate unused tokens of its fair share of a scarce row.
+constexpr double kFairShareBurstSeconds = 0.5;
+/// A node that uses a row reports about once a second. One that is silent for longer than this
+/// (2.5 s) may be partitioned from the owner, and then continues at its last granted rate.
 constexpr Duration kSilentAfter{2500000};
-/// Part of the burst from which on the row counts as scarce, and stocks are no longer filled.
-constexpr double kScarcePart = 0.5;
+/// Fraction of the burst below which a row counts as scarce; nodes' reserves are then no longer
+/// filled.
+constexpr double kScarceBurstFraction = 0.5;
 
 }  // namespace
 
 LimitOwner::LimitOwner(const Knobs& knobs) : knobs_(knobs) {}
 
 LimitGrant LimitOwner::onDemand(NodeLife from, const LimitDemand& demand,
-                                const OwnerSituation& situation, Time now) {
-  RowUse& row = rowOf(demand, situation.isYoung, now);
+                                const OwnerContext& context, Time now) {
+  RowUse& row = rowOf(demand, context.startedRecently, now);
   NodeUse& node = row.nodes[from.node];
   if (node.life == from && node.lastGrant.sequence == demand.sequence) {
     return node.lastGrant;
@@ -41,7 +42,7 @@
   node.reportedAt = now;
   const double limit = row.limits.ratePerSecond;
   const double rate = std::max(
-      0.0, std::min(limit * situation.reachableShare, limit - rateOfSilentNodes(row, node, now)));
+      0.0, std::min(limit * context.reachableShare, limit - rateOfSilentNodes(row, node, now)));
   row.bucket.configure(rate, row.limits.burst, now);
   LimitGrant grant;
   grant.row = demand.limits.row;
@@ -52,20 +53,20 @@
   }
   if (row.limits.concurrency > 0) {
     const auto places = static_cast<int64_t>(
-        std::ceil(static_cast<double>(row.limits.concurrency) * situation.reachableShare));
+        std::ceil(static_cast<double>(row.limits.concurrency) * context.reachableShare));
     grantPlaces(row, node, places, now, grant);
   }
   node.lastGrant = grant;
   return grant;
 }
 
-LimitOwner::RowUse& LimitOwner::rowOf(const LimitDemand& demand, bool isYoung, Time now) {
+LimitOwner::RowUse& LimitOwner::rowOf(const LimitDemand& demand, bool startedRecently, Time now) {
   const RowLimits& limits = demand.limits;
   const auto added = rows_.try_emplace(
       limits.row, RowUse{limits, TokenBucket(limits.ratePerSecond, limits.burst, now), now, {}});
   RowUse& row = added.first->second;
-  if (added.second && (demand.hadGrants || isYoung)) {
-    // Another owner gave out tokens before: the burst isn't given a second time.
+  if (added.second && (demand.hadGrants || startedRecently)) {
+    // Another owner may have granted the burst already, so it is not granted a second time.
     row.bucket = TokenBucket(limits.ratePerSecond, 0, now);
   }
   if (limits.rowVersion >= row.limits.rowVersion) {
@@ -95,19 +96,20 @@
     demands.push_back(entry.second.demandPerSecond);
     sum += entry.second.demandPerSecond;
   }
-  // What nobody asks for is shared out in proportion, as headroom for nodes that are cut off.
+  // Unrequested capacity is distributed in proportion to demand, as headroom for nodes that become
+  // partitioned from the owner.
   return sum > 0 && sum < capacity ? demands[own] * capacity / sum
                                    : maxMinShares(demands, capacity)[own];
 }
 
 void LimitOwner::grantTokens(RowUse& row, NodeUse& node, const LimitDemand& demand, Time now,
                              LimitGrant& grant) {
-  const double left = row.bucket.tokens(now);
-  const bool isScarce = left < row.limits.burst * kScarcePart;
-  if (demand.neededTokens > 0 && left > 0) {
-    // All or nothing, and the bucket may go into debt: else large requests would never pass beside
-    // small ones.
-    const double stock = isScarce ? 0.0 : std::min(demand.wantedTokens, left);
+  const double tokensLeft = row.bucket.tokens(now);
+  const bool isScarce = tokensLeft < row.limits.burst * kScarceBurstFraction;
+  if (demand.neededTokens > 0 && tokensLeft > 0) {
+    // All or nothing, and the bucket may go into debt; otherwise small requests would starve large
+    // ones.
+    const double stock = isScarce ? 0.0 : std::min(demand.wantedTokens, tokensLeft);
     grant.tokens = std::max(demand.neededTokens, stock);
     row.bucket.charge(grant.tokens, now);
     return;
@@ -121,11 +123,11 @@
   if (!isShort) {
     node.fairShare.reset();
   } else {
-    const double gathered = 1.0 + grant.ratePerSecond * kFairShareSeconds;
+    const double burstLimit = 1.0 + grant.ratePerSecond * kFairShareBurstSeconds;
     if (!node.fairShare) {
-      node.fairShare.emplace(grant.ratePerSecond, gathered, now);
+      node.fairShare.emplace(grant.ratePerSecond, burstLimit, now);
     }
-    node.fairShare->configure(grant.ratePerSecond, gathered, now);
+    node.fairShare->configure(grant.ratePerSecond, burstLimit, now);
     allowed = std::min(allowed, node.fairShare->tokens(now));
   }
   grant.tokens = row.bucket.takeUpTo(allowed, now);
@@ -148,7 +150,7 @@
 
 void LimitOwner::grantPlaces(RowUse& row, NodeUse& node, int64_t limit, Time now,
                              LimitGrant& grant) {
-  if (now - row.ownedSince < knobs_.limitReportInterval * kLearningReports) {
+  if (now - row.ownedSince < knobs_.limitReportInterval * kLearningReportIntervals) {
     return;
   }
   int64_t others = 0;
@@ -167,7 +169,8 @@
   for (auto row = rows_.begin(); row != rows_.end();) {
     std::map<NodeId, NodeUse>& nodes = row->second.nodes;
     for (auto node = nodes.begin(); node != nodes.end();) {
-      // Longer than the lease, so that the node gave its places up before they are given out again.
+      // Longer than the lease, so that the node has dropped its places before they are granted
+      // again.
       const bool silent = now - node->second.reportedAt > knobs_.limitLeaseTime * 2;
       node = silent ? nodes.erase(node) : std::next(node);
     }
--- a/src/admission/limit_owner.h
+++ b/src/admission/limit_owner.h
@@ -1,7 +1,7 @@
 /// @file
-/// The owner's side of limits that hold over all nodes. For each row it owns a node keeps the one
-/// token bucket of the rate and the one count of places, and hands tokens and places to the nodes
-/// that ask. docs/ADMISSION.md states the error.
+/// Owner side of the distributed limits. For each row it owns, a node keeps the only token bucket
+/// and the only count of places (concurrency slots), and grants tokens and places to the nodes that
+/// ask. docs/ADMISSION.md gives the error bounds.
 #pragma once
 
 #include <algorithm>
@@ -15,17 +15,17 @@
 
 namespace fernmoor {
 
-/// A node's question about one row.
+/// A node's report of demand and request for tokens and places of one row.
 struct LimitDemand {
   RowLimits limits;
   uint32_t sequence = 0;
-  double demandPerSecond = 0;
+  double demandPerSecond = 0;  ///< Smoothed, in limit units.
   double wantedTokens = 0;
-  double neededTokens = 0;  ///< Of these, what a request waits for; less is of no use to it.
+  double neededTokens = 0;  ///< Part of wantedTokens that a waiting request needs, all or nothing.
   int64_t inFlight = 0;
   int64_t heldPlaces = 0;
-  int64_t wantedPlaces = 0;  ///< Places that it could use now, the used ones included.
-  bool hadGrants = false;    ///< It was given tokens or places before, perhaps by another owner.
+  int64_t wantedPlaces = 0;  ///< Places that it could use now, including those in use.
+  bool hadGrants = false;    ///< It received tokens or places before, possibly from another owner.
 };
 
 /// The owner's answer.
@@ -33,18 +33,18 @@
   RowKey row;
   uint32_t sequence = 0;
   double tokens = 0;
-  double ratePerSecond = 0;      ///< That the node may count on.
-  int64_t places = 0;            ///< That it holds from now on, where confirmed.
-  bool placesConfirmed = false;  ///< False: it goes on with what it has.
+  double ratePerSecond = 0;      ///< Share of the rate that the node may rely on.
+  int64_t places = 0;            ///< Places held from now on; valid if placesConfirmed.
+  bool placesConfirmed = false;  ///< False: the node keeps the places it has.
 };
 
-/// What an owner knows of itself and of its surroundings.
-struct OwnerSituation {
-  /// Part of the nodes that it can hear of, so that the two sides of a cut together keep the limit;
-  /// 1 where none is absent.
+/// State of the owner and its view of the cluster that affect its grants.
+struct OwnerContext {
+  /// Fraction of the known nodes that are reachable; 1 if none is absent. The limit is scaled by it
+  /// so that both sides of a network partition together stay within the limit.
   double reachableShare = 1.0;
-  /// It was started a moment ago, so another one may have given out the burst before it.
-  bool isYoung = false;
+  /// The node started recently, so a previous owner may already have granted the burst.
+  bool startedRecently = false;
 };
 
 /// Not thread-safe.
@@ -52,10 +52,10 @@
  public:
   explicit LimitOwner(const Knobs& knobs);
 
-  /// Answers a question. One that comes again gets the same answer.
-  LimitGrant onDemand(NodeLife from, const LimitDemand& demand, const OwnerSituation& situation,
+  /// Answers a question. A repeated question (same sequence) gets the same answer again.
+  LimitGrant onDemand(NodeLife from, const LimitDemand& demand, const OwnerContext& context,
                       Time now);
-  /// Forgets nodes that are silent for a lease time, and rows without nodes.
+  /// Removes nodes that have been silent for two lease times, and rows without nodes.
   void expire(Time now);
   size_t rowCount() const { return rows_.size(); }
 
@@ -66,15 +66,16 @@
     double demandPerSecond = 0;
     int64_t inFlight = 0;
     int64_t grantedPlaces = 0;
-    int64_t reportedPlaces = 0;  ///< It uses these until it has heard of a smaller grant.
+    int64_t reportedPlaces = 0;  ///< May be in use until a smaller grant reaches the node.
     int64_t wantedPlaces = 0;
     Time reportedAt;
 
-    /// @return places that it may be using now.
+    /// @return upper bound of the places that the node may be using now.
     int64_t outstandingPlaces() const {
       return std::max({grantedPlaces, reportedPlaces, inFlight});
     }
-    std::optional<TokenBucket> fairShare;  ///< Only while the row is short.
+    /// Present only if the node's demand exceeded its fair rate when the row was last scarce.
+    std::optional<TokenBucket> fairShare;
   };
   struct RowUse {
     RowLimits limits;
@@ -83,7 +84,7 @@
     std::map<NodeId, NodeUse> nodes;
   };
 
-  RowUse& rowOf(const LimitDemand& demand, bool isYoung, Time now);
+  RowUse& rowOf(const LimitDemand& demand, bool startedRecently, Time now);
   static double rateOfSilentNodes(const RowUse& row, const NodeUse& asking, Time now);
   void grantTokens(RowUse& row, NodeUse& node, const LimitDemand& demand, Time now,
                    LimitGrant& grant);
--- a/src/admission/limit_role.cpp
+++ b/src/admission/limit_role.cpp
@@ -10,13 +10,13 @@
 
 namespace {
 
-/// Rows that one message may name.
+/// Maximum number of rows in one message.
 constexpr int kRowsPerMessage = 256;
-/// Lines on rows that become short or whole again.
-constexpr LogBudgetBounds kShortLines{2, 10};
+/// Log budget for rows that become short of tokens or recover.
+constexpr LogBudgetBounds kShortageLogBudget{2, 10};
 
-/// Nodes that can hear of fewer of the known ones are the smaller side of a cut.
-constexpr double kLeastReachableShare = 0.5;
+/// A node that can reach a smaller fraction of the known nodes is in the minority of a partition.
+constexpr double kMinimumReachableShare = 0.5;
 
 uint64_t hashOf(const RowKey& row) {
   return rendezvousWeight(stableHash(row.service.value()), stableHash(row.tenant.value()));
@@ -29,16 +29,16 @@
       knobs_(knobs),
       limiter_(knobs),
       owner_(knobs),
-      shortLog_(kShortLines) {}
+      shortLog_(kShortageLogBudget) {}
 
 Result<Done> LimitRole::tryAcquire(const RowLimits& limits, double cost, Time now) {
   const RankedLock lock(mutex_);
-  return limiter_.tryAcquire(limits, cost, Spending::kInAdvance, now);
+  return limiter_.tryAcquire(limits, cost, DebtPolicy::kAllowDebt, now);
 }
 
 Result<Done> LimitRole::tryAcquireHeld(const RowLimits& limits, double cost, Time now) {
   const RankedLock lock(mutex_);
-  return limiter_.tryAcquire(limits, cost, Spending::kStockOnly, now);
+  return limiter_.tryAcquire(limits, cost, DebtPolicy::kForbidDebt, now);
 }
 
 void LimitRole::giveBack(const RowKey& row, double cost) {
@@ -77,7 +77,7 @@
   }
   for (const Member& member : members) {
     if (member.state == MemberState::kDraining && member.life.node != self) {
-      nodes_.erase(member.life.node);  // Leaves on purpose: its share is the others' at once.
+      nodes_.erase(member.life.node);  // Deliberate leave: its share passes to the others at once.
       continue;
     }
     KnownNode& node = nodes_[member.life.node];
@@ -87,9 +87,9 @@
   }
   int64_t rank = 0;
   for (auto node = nodes_.begin(); node != nodes_.end();) {
-    const bool forgotten = now - node->second.seenAt > knobs_.limitAbsentMemory;
-    rank += node->first < self && !forgotten ? 1 : 0;
-    node = forgotten ? nodes_.erase(node) : std::next(node);
+    const bool isExpired = now - node->second.seenAt > knobs_.limitAbsentMemory;
+    rank += node->first < self && !isExpired ? 1 : 0;
+    node = isExpired ? nodes_.erase(node) : std::next(node);
   }
   const auto live = static_cast<double>(std::count_if(
       nodes_.begin(), nodes_.end(), [](const auto& entry) { return entry.second.live; }));
@@ -99,9 +99,9 @@
 }
 
 std::optional<NodeId> LimitRole::ownerOf(const RowKey& row) const {
-  // The smaller side of a cut has no owner: its nodes go on with what they were last granted, and
-  // the greater side's owner leaves that to them.
-  if (reachableShare_ < kLeastReachableShare) {
+  // The minority of a partition has no owner. Its nodes continue at their last granted rates, which
+  // the majority's owner reserves for them.
+  if (reachableShare_ < kMinimumReachableShare) {
     return std::nullopt;
   }
   const uint64_t key = hashOf(row);
@@ -117,8 +117,8 @@
   return owner;
 }
 
-OwnerSituation LimitRole::situation(Time now) const {
-  return OwnerSituation{reachableShare_, startedAt_ && now - *startedAt_ < knobs_.limitLeaseTime};
+OwnerContext LimitRole::ownerContext(Time now) const {
+  return OwnerContext{reachableShare_, startedAt_ && now - *startedAt_ < knobs_.limitLeaseTime};
 }
 
 void LimitRole::onTick(Time now, MessageSender& sender) {
@@ -158,12 +158,12 @@
       questions[*owner].push_back(std::move(demand));
     }
   }
-  answerOwn(questions[self_.node], now);
+  answerOwnedRows(questions[self_.node], now);
   questions.erase(self_.node);
   return questions;
 }
 
-void LimitRole::takeGrant(const LimitGrant& grant, Time now) {
+void LimitRole::applyGrant(const LimitGrant& grant, Time now) {
   const bool wasShort = limiter_.isShort(grant.row);
   limiter_.onGrant(grant, now);
   const bool isShort = limiter_.isShort(grant.row);
@@ -194,9 +194,9 @@
   return reachableShare_;
 }
 
-void LimitRole::answerOwn(const std::vector<LimitDemand>& questions, Time now) {
+void LimitRole::answerOwnedRows(const std::vector<LimitDemand>& questions, Time now) {
   for (const LimitDemand& demand : questions) {
-    takeGrant(owner_.onDemand(self_, demand, situation(now), now), now);
+    applyGrant(owner_.onDemand(self_, demand, ownerContext(now), now), now);
   }
 }
 
@@ -219,9 +219,9 @@
     for (int index = 0; index < std::min(kRowsPerMessage, question.rows_size()); ++index) {
       const LimitDemand demand = decodeDemand(question.rows(index));
       if (ownerOf(demand.limits.row) != self_.node) {
-        continue;  // Only one node at a time gives out a row's tokens.
+        continue;  // Only one node at a time grants a row's tokens.
       }
-      encodeGrant(owner_.onDemand(from, demand, situation(now), now), *answer.add_rows());
+      encodeGrant(owner_.onDemand(from, demand, ownerContext(now), now), *answer.add_rows());
     }
   }
   if (answer.rows_size() > 0) {
@@ -234,7 +234,7 @@
   for (const proto::LimitGrant& row : answer.rows()) {
     const LimitGrant grant = decodeGrant(row);
     if (ownerOf(grant.row) == from.node) {
-      takeGrant(grant, now);
+      applyGrant(grant, now);
     }
   }
 }
--- a/src/admission/limit_role.h
+++ b/src/admission/limit_role.h
@@ -1,7 +1,7 @@
 /// @file
-/// Limits of rows over all nodes: each row has one owner among the live nodes (rendezvous hashing),
-/// which gives tokens and places to the nodes that ask. A few messages a second for each row that
-/// is in use here, none for the others.
+/// Distributed row limits. Each row has one owner among the live nodes, chosen by rendezvous
+/// hashing, which grants tokens and places (concurrency slots) to the nodes that ask. A node
+/// exchanges a few messages per second for each row that it uses, and none for other rows.
 #pragma once
 
 #include <map>
@@ -19,25 +19,25 @@
 /// Thread-safe. As a RowLimiter it may be called under the admission lock.
 class LimitRole : public Role, public RowLimiter {
  public:
-  /// @param membership outlives the role; read on ticks only.
+  /// @param membership must outlive the role; read only in onTick().
   LimitRole(const MembershipView& membership, const Knobs& knobs);
 
-  /// Lets a request pass also ahead of the owner's answer.
+  /// Admits a request even before the owner answers, up to a bounded debt.
   Result<Done> tryAcquire(const RowLimits& limits, double cost, Time now) override;
-  /// Lets a request pass on what this node holds.
+  /// Admits a request only on tokens that this node holds.
   Result<Done> tryAcquireHeld(const RowLimits& limits, double cost, Time now);
   void release(const RowKey& row, Time now) override;
-  /// The request did not run after all: what it cost may be spent again.
+  /// Returns the tokens of a request that did not run after all.
   void giveBack(const RowKey& row, double cost);
-  /// Asks the row's owner at once, instead of on the next tick.
+  /// Asks the row's owner immediately instead of on the next tick.
   /// @param needed cost of the request that waits for the answer.
-  /// @return whether there is an owner to wait for.
+  /// @return false if the row has no owner, so that no answer will come.
   bool askNow(const RowKey& row, double needed, Time now, MessageSender& sender);
-  /// @return whether a question about the row has no answer yet.
+  /// @return whether the latest question about the row is still unanswered.
   bool awaitsAnswer(const RowKey& row) const;
-  /// @return rows whose owner gives this node less than it wants.
+  /// @return the number of rows whose owner last granted this node fewer tokens than it requested.
   size_t shortCount() const;
-  /// @return part of the known nodes that this one can hear of.
+  /// @return the fraction of the known nodes that are live, as seen by this node.
   double reachableShare() const;
 
   void onMessage(NodeLife from, const proto::Envelope& envelope, Time now,
@@ -45,7 +45,7 @@
   void onTick(Time now, MessageSender& sender) override;
 
  private:
-  /// A node that was live once and is not known to have left.
+  /// A node that has been live and is not known to have left.
   struct KnownNode {
     uint64_t hash = 0;
     Time seenAt;
@@ -54,15 +54,16 @@
 
   void updateNodes(const std::vector<Member>& members, NodeId self, Time now);
   std::optional<NodeId> ownerOf(const RowKey& row) const;
-  /// Answers those about rows of its own. @return the others by the rows' owners.
+  /// Answers questions about rows that this node owns.
+  /// @return the remaining questions, grouped by the owner of their row.
   std::map<NodeId, std::vector<LimitDemand>> questionsToOthers(std::vector<LimitDemand> due,
                                                                Time now);
-  OwnerSituation situation(Time now) const;
+  OwnerContext ownerContext(Time now) const;
   void sendQuestions(const std::map<NodeId, std::vector<LimitDemand>>& questions,
                      MessageSender& sender) const;
-  /// Takes the owner's answer; one log line where a row becomes short, or whole again.
-  void takeGrant(const LimitGrant& grant, Time now);
-  void answerOwn(const std::vector<LimitDemand>& questions, Time now);
+  /// Applies the owner's answer. Logs one line if the row becomes short of tokens or recovers.
+  void applyGrant(const LimitGrant& grant, Time now);
+  void answerOwnedRows(const std::vector<LimitDemand>& questions, Time now);
   void onQuestion(NodeLife from, const proto::LimitQuestion& question, Time now,
                   MessageSender& sender);
   void onAnswer(NodeLife from, const proto::LimitAnswer& answer, Time now);
@@ -71,9 +72,9 @@
   const Knobs knobs_;
   mutable RankedMutex mutex_{LockRank::kRouting};
   NodeLife self_;
-  std::optional<Time> startedAt_;  ///< Of the first tick.
+  std::optional<Time> startedAt_;  ///< Time of the first tick.
   std::map<NodeId, KnownNode> nodes_;
-  double reachableShare_ = 1.0;  ///< Part of the known nodes that are live.
+  double reachableShare_ = 1.0;  ///< Fraction of the known nodes that are live.
   DistributedLimiter limiter_;
   LimitOwner owner_;
   LogBudget shortLog_;
--- a/src/admission/pool_capacity.cpp
+++ b/src/admission/pool_capacity.cpp
@@ -9,10 +9,10 @@
 
 namespace {
 
-double placesOf(const EngineCandidate& candidate, Time now, const Knobs& knobs) {
+double freePlacesAt(const EngineCandidate& candidate, Time now, const Knobs& knobs) {
   const EngineLoad& load = candidate.engine.load;
   const double bound = static_cast<double>(load.maxStreams) * (1.0 + knobs.engineQueueFactor);
-  // A long prefill queue keeps newcomers waiting however many slots are free.
+  // A long prefill queue delays new requests no matter how many batch slots are free.
   if (prefillQueueSeconds(candidate, now) > knobs.engineQueueSeconds) {
     return 0;
   }
@@ -25,7 +25,7 @@
                    const Knobs& knobs) {
   double places = 0;
   for (const EngineCandidate& candidate : candidates) {
-    places += placesOf(candidate, now, knobs);
+    places += freePlacesAt(candidate, now, knobs);
   }
   return static_cast<int64_t>(std::ceil(places / static_cast<double>(std::max<int64_t>(1, nodes))));
 }
--- a/src/admission/pool_capacity.h
+++ b/src/admission/pool_capacity.h
@@ -1,5 +1,5 @@
 /// @file
-/// Back pressure: how many more requests a pool of engines can take, from the engines' load.
+/// Backpressure: computes from the engines' load how many more requests a pool can take.
 #pragma once
 
 #include <cstdint>
@@ -10,11 +10,11 @@
 
 namespace fernmoor {
 
-/// @param candidates engines of the pool that may get new work.
-/// @param nodes routers that send to them; each takes an equal part of what is free, since all see
-/// the same free places.
-/// @return places free for this node: slots of the batches and a bounded queue at each engine, less
-/// the requests that are there; never negative.
+/// @param candidates engines of the pool that accept new requests.
+/// @param nodes routers that send to these engines. All of them see the same free slots, so each
+/// uses an equal part.
+/// @return this node's part of the free slots, rounded up: batch slots plus a bounded queue at each
+/// engine, less the requests already there; never negative.
 int64_t freePlaces(const std::vector<EngineCandidate>& candidates, int64_t nodes, Time now,
                    const Knobs& knobs);
 
--- a/src/admission/retry_budget.h
+++ b/src/admission/retry_budget.h
@@ -1,6 +1,6 @@
 /// @file
-/// Bound on the retries that the router adds by itself, as a share of the requests it takes.
-/// Source of the idea: the retry budgets of Finagle and of Google's SRE book, chapter 21.
+/// Limits the router's own retries to a fraction of the requests it receives. Modelled on the retry
+/// budgets of Finagle and of Google's SRE book, chapter 21.
 #pragma once
 
 #include "common/knobs.h"
@@ -14,14 +14,14 @@
  public:
   explicit RetryBudget(const Knobs& knobs);
 
-  /// Counts a first try.
+  /// Counts a first attempt.
   void countRequest(Time now);
-  /// @return true where a retry fits the budget; it is then counted.
+  /// @return true if the budget allows a retry; the retry is then counted.
   bool tryRetry(Time now);
 
  private:
   double ratio_;
-  double alwaysPerSecond_;
+  double minimumPerSecond_;
   DecayingRate requests_;
   DecayingRate retries_;
 };
--- a/src/admission/row_limiter.cpp
+++ b/src/admission/row_limiter.cpp
@@ -6,7 +6,8 @@
 
 namespace {
 
-/// Told where requests in flight have to end first; their length isn't known here.
+/// Retry-After (500 ms) when requests in flight have to end first; their duration is not known
+/// here.
 constexpr Duration kConcurrencyRetryAfter{500000};
 
 Error limitError(const std::string& message, Duration retryAfter) {
--- a/src/admission/row_limiter.h
+++ b/src/admission/row_limiter.h
@@ -1,5 +1,5 @@
 /// @file
-/// Rate and concurrency limits of rows.
+/// Interface for rate and concurrency limits of rows, and an implementation local to one node.
 #pragma once
 
 #include <map>
@@ -10,19 +10,20 @@
 
 namespace fernmoor {
 
-/// Decides whether a row's limits let one more request pass. Called under the admission lock.
+/// Decides whether a row's limits admit one more request. Called with the admission lock held.
 class RowLimiter {
  public:
   virtual ~RowLimiter() = default;
   /// Counts the request against the row's rate and concurrency.
-  /// @param cost in the unit of the rate: 1 where requests are counted, else e.g. tokens.
-  /// @return kRateLimited with the time until there is room again.
+  /// @param cost in the unit of the rate: 1 if requests are counted, otherwise e.g. tokens.
+  /// @return an error of kind kRateLimited with a Retry-After if a limit is exceeded.
   virtual Result<Done> tryAcquire(const RowLimits& limits, double cost, Time now) = 0;
-  /// The request ended, was refused by the queue, or its caller went away.
+  /// Frees the concurrency slot of a request that ended, was rejected by the queue, or lost its
+  /// caller.
   virtual void release(const RowKey& row, Time now) = 0;
 };
 
-/// Limits that hold on this node alone. Not thread-safe.
+/// Enforces limits on this node alone. Not thread-safe.
 class LocalRowLimiter : public RowLimiter {
  public:
   Result<Done> tryAcquire(const RowLimits& limits, double cost, Time now) override;
@@ -37,9 +38,9 @@
   std::map<RowKey, Entry> entries_;
 };
 
-/// @return the error of a caller that is over its rate.
+/// @return the error for a caller that exceeds its rate limit.
 Error rateLimitError(const RowLimits& limits, Duration retryAfter);
-/// @return the error of a caller that has too many requests in flight.
+/// @return the error for a caller that has too many requests in flight.
 Error concurrencyLimitError(const RowLimits& limits, Duration retryAfter);
 
 }  // namespace fernmoor
--- a/src/admission/token_bucket.cpp
+++ b/src/admission/token_bucket.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// Rounding errors of many small refills must not cost a whole token.
+/// In tokens; keeps the rounding errors of many small refills from costing a whole token.
 constexpr double kTolerance = 1e-9;
 
 }  // namespace
--- a/src/admission/token_bucket.h
+++ b/src/admission/token_bucket.h
@@ -1,12 +1,12 @@
 /// @file
-/// Token bucket: a rate with a bound on how many may come at once.
+/// Token bucket: limits a rate while allowing bursts up to a fixed size.
 #pragma once
 
 #include "common/time.h"
 
 namespace fernmoor {
 
-/// Not thread-safe. A rate of 0 lets nothing pass once the burst is used up.
+/// Not thread-safe. At rate 0 nothing passes once the burst is used up.
 class TokenBucket {
  public:
   /// Starts full.
@@ -14,14 +14,14 @@
 
   /// Changes the rate and the burst from now on; tokens beyond the new burst are lost.
   void configure(double ratePerSecond, double burst, Time now);
-  /// Takes so many tokens. @return false where there are fewer; then none is taken.
+  /// Takes `count` tokens. @return false, taking none, if fewer are available.
   bool tryTake(Time now, double count = 1.0);
-  /// Takes as many tokens as there are, fractions included, up to `wanted`.
+  /// Takes the available tokens, including fractions, up to `wanted`.
   /// @return how many were taken.
   double takeUpTo(double wanted, Time now);
-  /// Takes so many tokens, also those that are not there yet.
+  /// Takes `count` tokens unconditionally; the balance may become negative.
   void charge(double count, Time now);
-  /// @return time until the next token; 0 where there is one, the longest Duration at rate 0.
+  /// @return time until a whole token is available; 0 if one is, Duration::max() at rate 0.
   Duration timeUntilToken(Time now) const;
   double tokens(Time now) const;
 
--- a/test/admission/admission_controller_test.cpp
+++ b/test/admission/admission_controller_test.cpp
@@ -85,7 +85,7 @@
   CHECK(queued >= 18);  // Two seconds' worth of starts.
   CHECK(queued <= 23);
   CHECK(retryAfters.size() > 70);  // Spread, so that they don't return together.
-  CHECK(controller.counters().refusedHopeless == static_cast<uint64_t>(100 - queued));
+  CHECK(controller.counters().refusedByEstimate == static_cast<uint64_t>(100 - queued));
 }
 
 TEST_CASE_FIXTURE(Fixture, "a refused, expired or cancelled request frees its row's concurrency") {
