--- a/src/relay/flow_action.h
+++ b/src/relay/flow_action.h
@@ -1,5 +1,5 @@
 /// @file
-/// What a request's flow asks its driver to do, in order. The daemon carries the actions out with
+/// Actions that a RequestFlow asks its driver to execute, in order. The daemon executes them over
 /// HTTP, the simulator on its virtual network.
 #pragma once
 
@@ -14,9 +14,10 @@
 
 namespace fernmoor {
 
-/// Choose an engine and report it by RequestFlow::onPlaced, or by onPlacementRefused.
+/// Choose an engine and report it with RequestFlow::onPlaced(), or the failure to find one with
+/// onPlacementRefused().
 struct Place {
-  /// Engines that failed this request; to be taken only where there is no other.
+  /// Engines that already failed this request; choose one of them only if there is no other.
   std::vector<EngineId> excluded;
 };
 
@@ -24,24 +25,24 @@
 struct Dispatch {
   AttemptId attempt;
   Placement placement;
-  int64_t firstPosition = 0;  ///< Tokens that the caller has already.
-  std::string deliveredText;  ///< Their text, which the engine takes as the prompt's continuation.
+  int64_t firstPosition = 0;  ///< Number of tokens already delivered to the caller.
+  std::string deliveredText;  ///< Text of these tokens; the engine appends it to the prompt.
 };
 
-/// Ask the engine to repeat the attempt's output from a position. Starts no work there.
+/// Ask the engine to resend the attempt's output from a position. Starts no new computation.
 struct Resume {
   AttemptId attempt;
   Placement placement;
   int64_t position = 0;
 };
 
-/// Tell the engine to stop an attempt and drop the connection to it.
+/// Tell the engine to stop the attempt, and close its connection.
 struct CancelAttempt {
   AttemptId attempt;
   Placement placement;
 };
 
-/// Send text to the caller. Consecutive ones join without gap or overlap.
+/// Send text to the caller. Consecutive deliveries join without gap or overlap.
 struct DeliverText {
   int64_t position = 0;  ///< Of the first token.
   int64_t tokens = 0;
@@ -53,7 +54,7 @@
   int64_t totalTokens = 0;
 };
 
-/// Give the caller its final answer: an error. The last action of a flow.
+/// Answer the caller with an error. The last action of a flow.
 struct Refuse {
   Error error;
 };
--- a/src/relay/request_flow.cpp
+++ b/src/relay/request_flow.cpp
@@ -8,21 +8,22 @@
 
 namespace {
 
-/// An engine that answers so was chosen from a stale view; the next choice may well succeed.
-bool isMisplacement(const Error& error) {
+/// Whether the engine was chosen from a stale view, so that another choice may well succeed.
+bool isStalePlacement(const Error& error) {
   return error.kind == ErrorKind::kWrongIncarnation || error.kind == ErrorKind::kWrongWeights;
 }
 
-/// Whether the engine itself said that it does not run the attempt, so that resuming is no use.
-bool isRefusal(const Error& error) {
-  return error.runState == RunState::kNotRun || isMisplacement(error) ||
+/// Whether the engine said that it does not run the attempt, so that resuming is pointless.
+bool isRejection(const Error& error) {
+  return error.runState == RunState::kNotRun || isStalePlacement(error) ||
          error.kind == ErrorKind::kNotFound;
 }
 
-/// Moves a life on. An event that the chart does not have there is a fault of this module.
-template <class Life, class Event>
-void advance(Life& life, Event event) {
-  const auto next = life.fire(event);
+/// Fires an event. An event that is invalid in the current state is a bug of this module.
+/// @throws std::logic_error for such an event.
+template <class Machine, class Event>
+void advance(Machine& machine, Event event) {
+  const auto next = machine.fire(event);
   if (!isOk(next)) {
     throw std::logic_error(errorOf(next).message);
   }
@@ -31,7 +32,7 @@
 }  // namespace
 
 RequestFlow::RequestFlow(FlowLimits limits, Time start)
-    : limits_(limits), end_(start + limits.deadline), life_(requestChart()) {}
+    : limits_(limits), end_(start + limits.deadline), machine_(requestChart()) {}
 
 FlowActions RequestFlow::begin() {
   return {Place{}};
@@ -42,10 +43,10 @@
   adopted_ = true;
   mayHaveRun_ = true;
   delivered_ = position;
-  advance(life_, RequestEvent::kPlaced);
-  attempt_ = Attempt{attempt, placement, AttemptLife(attemptChart()), now, false};
+  advance(machine_, RequestEvent::kPlaced);
+  attempt_ = Attempt{attempt, placement, AttemptStateMachine(attemptChart()), now, false};
   FlowActions actions;
-  interrupt(now, actions);
+  resumeOrGiveUp(now, actions);
   return actions;
 }
 
@@ -56,8 +57,8 @@
   if (now >= end_) {
     return onTick(now);
   }
-  advance(life_, RequestEvent::kPlaced);
-  attempt_ = Attempt{attempt, placement, AttemptLife(attemptChart()), now, false};
+  advance(machine_, RequestEvent::kPlaced);
+  attempt_ = Attempt{attempt, placement, AttemptStateMachine(attemptChart()), now, false};
   ++dispatches_;
   ++countedAttempts_;
   return {Dispatch{attempt, placement, delivered_, deliveredText_}};
@@ -81,23 +82,23 @@
   FlowActions actions;
   if (!isPlausible(frame)) {
     giveUpAttempt(actions);
-    placeAgain(actions);
+    retryPlacement(actions);
     return actions;
   }
   const int64_t frameEnd = frame.position + frame.tokens;
   const bool isNew = frameEnd > delivered_;
   if (isNew && frame.position != delivered_) {
-    // A gap, or an overlap whose text cannot be cut at a token: ask for the exact position.
-    // While resuming, it is a frame of the former connection; the exact one is under way.
-    if (attempt_->life.state() != AttemptState::kResuming) {
-      interrupt(now, actions);
+    // A gap, or an overlap whose text cannot be split at a token: ask for the exact position. While
+    // resuming, the frame is from the previous connection, and the exact one is still to come.
+    if (attempt_->machine.state() != AttemptState::kResuming) {
+      resumeOrGiveUp(now, actions);
     }
     return actions;
   }
   if (isNew) {
     deliver(frame, now, actions);
   }
-  // Here the caller has everything before frameEnd, so that an end is the end of the whole answer.
+  // The caller now has everything before frameEnd, so an end frame ends the whole answer.
   if (frame.end || delivered_ == limits_.maxTokens) {
     finish(actions);
   }
@@ -109,10 +110,10 @@
     return {};
   }
   FlowActions actions;
-  if (isRefusal(error)) {
+  if (isRejection(error)) {
     onAttemptRefused(error, actions);
   } else {
-    interrupt(now, actions);
+    resumeOrGiveUp(now, actions);
   }
   return actions;
 }
@@ -128,8 +129,8 @@
     return actions;
   }
   if (attempt_ && state() == RequestState::kAttempting &&
-      now >= attempt_->lastProgress + patience()) {
-    interrupt(now, actions);
+      now >= attempt_->lastProgress + progressTimeout()) {
+    resumeOrGiveUp(now, actions);
   }
   return actions;
 }
@@ -140,7 +141,7 @@
     return actions;
   }
   giveUpAttempt(actions);
-  advance(life_, RequestEvent::kCallerGone);
+  advance(machine_, RequestEvent::kCallerGone);
   return actions;
 }
 
@@ -151,48 +152,48 @@
   if (state() != RequestState::kAttempting) {
     return end_;
   }
-  return std::min(end_, attempt_->lastProgress + patience());
+  return std::min(end_, attempt_->lastProgress + progressTimeout());
 }
 
 bool RequestFlow::done() const {
-  return life_.isFinished();
+  return machine_.isFinished();
 }
 
 std::optional<AttemptState> RequestFlow::attemptState() const {
-  return attempt_ ? std::make_optional(attempt_->life.state()) : std::nullopt;
+  return attempt_ ? std::make_optional(attempt_->machine.state()) : std::nullopt;
 }
 
 bool RequestFlow::isCurrent(const AttemptId& attempt) const {
   return state() == RequestState::kAttempting && attempt_->id == attempt;
 }
 
-Duration RequestFlow::patience() const {
-  return attempt_->hasBroughtFrames ? limits_.stallTimeout : limits_.firstFrameTimeout;
+Duration RequestFlow::progressTimeout() const {
+  return attempt_->hasReceivedFrames ? limits_.stallTimeout : limits_.firstFrameTimeout;
 }
 
 void RequestFlow::deliver(const StreamFrame& frame, Time now, FlowActions& actions) {
   actions.emplace_back(DeliverText{frame.position, frame.tokens, frame.text});
   delivered_ += frame.tokens;
   deliveredText_ += frame.text;
-  advance(attempt_->life, AttemptEvent::kFrame);
+  advance(attempt_->machine, AttemptEvent::kFrame);
   attempt_->lastProgress = now;
-  attempt_->hasBroughtFrames = true;
+  attempt_->hasReceivedFrames = true;
 }
 
 void RequestFlow::finish(FlowActions& actions) {
-  advance(attempt_->life, AttemptEvent::kEnd);
-  advance(life_, RequestEvent::kComplete);
+  advance(attempt_->machine, AttemptEvent::kEnd);
+  advance(machine_, RequestEvent::kComplete);
   actions.emplace_back(Finish{delivered_});
 }
 
-void RequestFlow::interrupt(Time now, FlowActions& actions) {
-  if (attempt_->life.state() == AttemptState::kResuming) {
-    // The engine had its chance to repeat.
+void RequestFlow::resumeOrGiveUp(Time now, FlowActions& actions) {
+  if (attempt_->machine.state() == AttemptState::kResuming) {
+    // Resuming was already tried.
     giveUpAttempt(actions);
-    placeAgain(actions);
+    retryPlacement(actions);
     return;
   }
-  advance(attempt_->life, AttemptEvent::kInterrupted);
+  advance(attempt_->machine, AttemptEvent::kInterrupted);
   attempt_->lastProgress = now;
   actions.emplace_back(Resume{attempt_->id, attempt_->placement, delivered_});
 }
@@ -201,26 +202,26 @@
   if (state() != RequestState::kAttempting) {
     return;
   }
-  advance(attempt_->life, AttemptEvent::kGiveUp);
+  advance(attempt_->machine, AttemptEvent::kGiveUp);
   mayHaveRun_ = true;
   actions.emplace_back(CancelAttempt{attempt_->id, attempt_->placement});
 }
 
 void RequestFlow::onAttemptRefused(const Error& error, FlowActions& actions) {
-  // An error in answer to a resume says nothing of whether the attempt ran before.
+  // An error in answer to a resume says nothing about whether the attempt ran earlier.
   const bool didNotRun =
-      attempt_->life.state() == AttemptState::kDispatched && error.runState == RunState::kNotRun;
-  advance(attempt_->life, AttemptEvent::kRefused);
+      attempt_->machine.state() == AttemptState::kDispatched && error.runState == RunState::kNotRun;
+  advance(attempt_->machine, AttemptEvent::kRefused);
   if (!didNotRun) {
     mayHaveRun_ = true;
-  } else if (isMisplacement(error) && misplacements_ < limits_.maxMisplacements) {
-    ++misplacements_;
+  } else if (isStalePlacement(error) && stalePlacements_ < limits_.maxStalePlacements) {
+    ++stalePlacements_;
     --countedAttempts_;
   }
-  placeAgain(actions);
+  retryPlacement(actions);
 }
 
-void RequestFlow::placeAgain(FlowActions& actions) {
+void RequestFlow::retryPlacement(FlowActions& actions) {
   const EngineId& engine = attempt_->placement.engine;
   if (std::find(failedEngines_.begin(), failedEngines_.end(), engine) == failedEngines_.end()) {
     failedEngines_.push_back(engine);
@@ -229,7 +230,7 @@
     refuse(exhaustedError(), actions);
     return;
   }
-  advance(life_, RequestEvent::kAttemptLost);
+  advance(machine_, RequestEvent::kAttemptLost);
   actions.emplace_back(Place{failedEngines_});
 }
 
@@ -238,7 +239,8 @@
       frame.tokens > limits_.maxTokens - frame.position) {
     return false;
   }
-  // An end before what was delivered: the engine contradicts itself, no repetition can mend that.
+  // An end before the delivered position contradicts the engine's earlier frames, so resuming
+  // cannot help.
   return !frame.end || frame.position + frame.tokens >= delivered_;
 }
 
@@ -250,7 +252,7 @@
 }
 
 void RequestFlow::refuse(Error error, FlowActions& actions) {
-  advance(life_, RequestEvent::kRefuse);
+  advance(machine_, RequestEvent::kRefuse);
   if (!error.retryAfter) {
     error.retryAfter = limits_.retryAfter;
   }
--- a/src/relay/request_life.h
+++ b/src/relay/request_life.h
@@ -1,6 +1,6 @@
 /// @file
-/// Life cycles of a request and of its attempts, as charts/request.scxml and charts/attempt.scxml
-/// state them.
+/// State machines of a request and of its attempts, defined by charts/request.scxml and
+/// charts/attempt.scxml.
 #pragma once
 
 #include "chart/typed_chart.h"
@@ -18,10 +18,10 @@
 
 using RequestChart = TypedChart<RequestState, RequestEvent>;
 using AttemptChart = TypedChart<AttemptState, AttemptEvent>;
-using RequestLife = TypedChartInstance<RequestState, RequestEvent>;
-using AttemptLife = TypedChartInstance<AttemptState, AttemptEvent>;
+using RequestStateMachine = TypedChartInstance<RequestState, RequestEvent>;
+using AttemptStateMachine = TypedChartInstance<AttemptState, AttemptEvent>;
 
-/// @return the chart compiled into the program; the same object at every call.
+/// @return the chart that is compiled into the program; every call returns the same object.
 const RequestChart& requestChart();
 const AttemptChart& attemptChart();
 
--- a/src/relay/request_log.h
+++ b/src/relay/request_log.h
@@ -1,5 +1,6 @@
 /// @file
-/// The latest requests' records, by request id; bounded, oldest dropped first.
+/// Bounded log of the latest request records, indexed by request id. The oldest record is evicted
+/// first.
 #pragma once
 
 #include <deque>
@@ -14,7 +15,7 @@
 /// Thread-safe.
 class RequestLog {
  public:
-  /// @param capacity records kept at most.
+  /// @param capacity maximum number of records.
   explicit RequestLog(size_t capacity) : capacity_(capacity) {}
   void add(RequestRecord record);
   std::optional<RequestRecord> find(const RequestId& request) const;
--- a/src/relay/request_record.h
+++ b/src/relay/request_record.h
@@ -1,6 +1,6 @@
 /// @file
-/// What is kept of a request after it ended, for `fernmoorctl explain` and for the measures. Holds
-/// no prompt or answer text.
+/// Summary of a finished request for `fernmoorctl explain` and for the metrics. Contains no prompt
+/// or answer text.
 #pragma once
 
 #include <optional>
@@ -13,7 +13,7 @@
 
 namespace fernmoor {
 
-/// One engine that was weighed for an attempt.
+/// One engine that was considered for an attempt.
 struct ConsideredEngine {
   EngineId engine;
   int64_t matchedBlocks = 0;
@@ -23,10 +23,10 @@
 struct AttemptRecord {
   AttemptId attempt;
   EngineId engine;
-  std::string reason;  ///< Of the choice, in one line.
+  std::string reason;  ///< One line that explains the choice of the engine.
   double expectedSeconds = 0;
   std::vector<ConsideredEngine> considered;
-  std::string result;  ///< "ended", "given up" or the error's kind.
+  std::string result;  ///< "ended", "given up" or the kind of the error.
 };
 
 struct RequestRecord {
--- a/src/relay/stream_relay.cpp
+++ b/src/relay/stream_relay.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-constexpr Duration kShortestWait{1000};
+constexpr Duration kMinimumWait{1000};
 
 void append(std::deque<FlowAction>& pending, FlowActions actions) {
   std::move(actions.begin(), actions.end(), std::back_inserter(pending));
@@ -54,14 +54,14 @@
     }
     const FlowAction action = std::move(pending_.front());
     pending_.pop_front();
-    carryOut(action);
+    execute(action);
   }
-  leaveEngine();
+  reportAttemptEnded();
   record_->deliveredTokens = flow_.deliveredTokens();
   record_->total = clock_.now() - start_;
 }
 
-void StreamRelay::carryOut(const FlowAction& action) {
+void StreamRelay::execute(const FlowAction& action) {
   if (const auto* wanted = std::get_if<Place>(&action)) {
     place(*wanted);
   } else if (const auto* wanted = std::get_if<Dispatch>(&action)) {
@@ -107,7 +107,7 @@
   request.firstPosition = action.firstPosition;
   request.maxTokens = request_.maxTokens;
   announced_ = false;
-  leaveEngine();
+  reportAttemptEnded();
   occupiesEngine_ = true;
   openStream(action.attempt, action.placement, engines_.generate(request, untilDeadline()));
 }
@@ -142,7 +142,7 @@
     record_->timeToFirstToken = clock_.now() - start_;
   }
   record_->runState = RunState::kRan;
-  noteCaller(sink_.text(action.position, action.tokens, action.text));
+  updateCallerPresence(sink_.text(action.position, action.tokens, action.text));
 }
 
 void StreamRelay::refuse(const Refuse& action) {
@@ -161,7 +161,7 @@
   if (const auto* frame = std::get_if<AttemptFrame>(&read)) {
     onFrame(*frame);
   } else if (std::holds_alternative<StreamInterrupted>(read)) {
-    noteCaller(!sink_.callerGone());
+    updateCallerPresence(!sink_.callerGone());
   } else if (std::holds_alternative<StreamClosed>(read)) {
     stream_.reset();
     onAttemptFailed(streamAttempt_, streamPlacement_, connectionLost());
@@ -175,7 +175,7 @@
     record_->promptTokens = std::max(record_->promptTokens, frame.promptTokens);
     record_->cachedTokens = std::max(record_->cachedTokens, frame.cachedTokens);
     placer_.reportHit(streamPlacement_, frame);
-    noteCaller(sink_.attemptStarted(streamAttempt_, streamPlacement_, frame));
+    updateCallerPresence(sink_.attemptStarted(streamAttempt_, streamPlacement_, frame));
   }
   StreamFrame streamFrame{frame.position, frame.tokens, frame.text, frame.end};
   append(pending_, flow_.onFrame(streamAttempt_, streamFrame, clock_.now()));
@@ -188,13 +188,13 @@
   append(pending_, flow_.onAttemptFailed(attempt, error, clock_.now()));
 }
 
-void StreamRelay::noteCaller(bool present) {
+void StreamRelay::updateCallerPresence(bool present) {
   if (!present && !flow_.done()) {
     append(pending_, flow_.onCallerGone(clock_.now()));
   }
 }
 
-void StreamRelay::leaveEngine() {
+void StreamRelay::reportAttemptEnded() {
   if (occupiesEngine_) {
     placer_.reportEnded(streamPlacement_);
   }
@@ -204,9 +204,9 @@
 Duration StreamRelay::untilDeadline() const {
   const std::optional<Time> deadline = flow_.nextDeadline();
   if (!deadline) {
-    return kShortestWait;
+    return kMinimumWait;
   }
-  return std::max(kShortestWait, *deadline - clock_.now());
+  return std::max(kMinimumWait, *deadline - clock_.now());
 }
 
 void StreamRelay::setAttemptResult(const std::string& result) {
--- a/src/relay/stream_relay.h
+++ b/src/relay/stream_relay.h
@@ -1,5 +1,5 @@
 /// @file
-/// Drives one request's RequestFlow with real engine streams, on the calling thread.
+/// Executes the actions of one request's RequestFlow on real engine streams, on the calling thread.
 #pragma once
 
 #include <Poco/Net/Socket.h>
@@ -16,7 +16,7 @@
 
 namespace fernmoor {
 
-/// A request for a model, admitted and ready to be placed.
+/// An admitted model request that is ready to be placed on an engine.
 struct RelayRequest {
   RequestId id;
   TenantId tenant;
@@ -27,7 +27,7 @@
   int64_t maxTokens = 16;
 };
 
-/// A placement with what explains it.
+/// A placement and the data that explains it.
 struct PlacedAttempt {
   Placement placement;
   std::string reason;
@@ -35,34 +35,35 @@
   std::vector<ConsideredEngine> considered;
 };
 
-/// Chooses engines for a request. One object a request; called on its thread.
+/// Chooses engines for one request. Called on the request's thread.
 class EnginePlacer {
  public:
   virtual ~EnginePlacer() = default;
-  /// @param excluded engines that failed this request; taken only where there is no other.
+  /// @param excluded engines that already failed this request; chosen only if there is no other.
   virtual Result<PlacedAttempt> place(const std::vector<EngineId>& excluded) = 0;
-  /// An engine failed or refused; it should not be chosen again soon.
+  /// Reports that an engine failed or rejected the request and should not be chosen again soon.
   virtual void reportFailure(const Placement& placement, const Error& error) = 0;
-  /// The engine's first frame told how much of the prompt it had cached.
+  /// Reports how much of the prompt the engine had cached, as stated in its first frame.
   virtual void reportHit(const Placement& placement, const AttemptFrame& firstFrame) = 0;
-  /// An attempt is over on that engine, however it ended. Called once for each placement.
+  /// Reports that an attempt no longer occupies the engine, for whatever reason. Called once for
+  /// each dispatch.
   virtual void reportEnded(const Placement& placement) = 0;
 };
 
-/// Where a caller's answer goes. Called on the request's thread. Every method returns false where
-/// the caller is gone.
+/// Receives the answer for the caller. Called on the request's thread. The methods that send return
+/// false if the caller has disconnected.
 class AnswerSink {
  public:
   virtual ~AnswerSink() = default;
-  /// An attempt begins to bring frames; before its first text.
+  /// Called with an attempt's first frame, before its first text.
   virtual bool attemptStarted(const AttemptId& attempt, const Placement& placement,
                               const AttemptFrame& firstFrame) = 0;
   virtual bool text(int64_t position, int64_t tokens, const std::string& text) = 0;
   virtual bool finish(int64_t totalTokens) = 0;
   virtual bool refuse(const Error& error) = 0;
-  /// @return the caller's socket, to notice when it closes; null where that can't be watched.
+  /// @return the caller's socket, watched for disconnection; null if it cannot be watched.
   virtual const Poco::Net::Socket* callerSocket() = 0;
-  /// Called when that socket became readable. @return true where the caller closed it.
+  /// Called when that socket becomes readable. @return true if the caller closed it.
   virtual bool callerGone() = 0;
 };
 
@@ -71,17 +72,18 @@
   StreamRelay(EngineClient& engines, const Clock& clock, EnginePlacer& placer, AnswerSink& sink,
               RelayRequest request, FlowLimits limits);
 
-  /// Runs the request to its end.
-  /// @param record filled in as far as it is known here.
+  /// Runs the request until it ends.
+  /// @param record receives the fields that are known here.
   void run(RequestRecord& record);
 
-  /// Takes up an attempt that may have been dispatched by another node.
+  /// Takes over an attempt that may have been dispatched by another node, and runs it until it
+  /// ends.
   void runAdopted(const Placement& placement, const AttemptId& attempt, int64_t position,
                   RequestRecord& record);
 
  private:
   void pump(FlowActions first);
-  void carryOut(const FlowAction& action);
+  void execute(const FlowAction& action);
   void place(const Place& action);
   void dispatch(const Dispatch& action);
   void resume(const Resume& action);
@@ -93,8 +95,8 @@
   void readOnce();
   void onFrame(const AttemptFrame& frame);
   void onAttemptFailed(const AttemptId& attempt, const Placement& placement, const Error& error);
-  void noteCaller(bool present);
-  void leaveEngine();
+  void updateCallerPresence(bool present);
+  void reportAttemptEnded();
   Duration untilDeadline() const;
   void setAttemptResult(const std::string& result);
   AttemptId nextAttemptId();
@@ -110,8 +112,8 @@
   std::unique_ptr<AttemptStream> stream_;
   AttemptId streamAttempt_;
   Placement streamPlacement_;
-  bool occupiesEngine_ = false;  ///< streamPlacement_ was not yet reported as ended.
-  bool announced_ = false;       ///< The sink knows of the present attempt.
+  bool occupiesEngine_ = false;  ///< A dispatch to streamPlacement_ is not yet reported as ended.
+  bool announced_ = false;       ///< attemptStarted() was called for the current attempt.
   int64_t attemptCount_ = 0;
   RequestRecord* record_ = nullptr;
 };
--- a/test/relay/request_flow_test.cpp
+++ b/test/relay/request_flow_test.cpp
@@ -219,7 +219,7 @@
 TEST_CASE("misplacements cost no attempt up to a bound") {
   FlowLimits limits = testLimits();
   limits.maxAttempts = 1;
-  limits.maxMisplacements = 2;
+  limits.maxStalePlacements = 2;
   RequestFlow flow(limits, Time());
   flow.begin();
   const Error stale = engineError(ErrorKind::kWrongWeights, RunState::kNotRun);
