--- a/src/routing/bounded_prefix_rendezvous.cpp
+++ b/src/routing/bounded_prefix_rendezvous.cpp
@@ -1,6 +1,6 @@
 /// @file
-/// Rendezvous hashing with bounded load: the first home that has fewer requests than a multiple of
-/// the mean.
+/// Rendezvous hashing with bounded loads: chooses the first engine in the prefix's home order that,
+/// with this request, has at most boundedLoadFactor times the mean number of requests.
 #include <cmath>
 
 #include "routing/engine_load_score.h"
@@ -11,7 +11,7 @@
 
 namespace {
 
-/// @return the most requests an engine may have, the new one included.
+/// @return the maximum number of requests per engine, including the new one.
 int64_t requestBound(const std::vector<EngineCandidate>& candidates, double factor) {
   int64_t total = 1;
   for (const EngineCandidate& candidate : candidates) {
--- a/src/routing/decaying_rate.h
+++ b/src/routing/decaying_rate.h
@@ -1,6 +1,5 @@
 /// @file
-/// A rate of events with exponential decay: recent ones count most, and nothing has to be stored
-/// for each event.
+/// Exponentially decaying event rate. Recent events weigh most, and no per-event state is kept.
 #pragma once
 
 #include <algorithm>
@@ -12,24 +11,24 @@
 /// Not thread-safe.
 class DecayingRate {
  public:
-  /// Counts `amount` events; the weight of former ones halves in each `halfLife`.
+  /// Counts `amount` events. The weight of earlier events halves every `halfLife`.
   void add(double amount, Time now, Duration halfLife) {
     weight_ = weightAt(now, halfLife) + amount;
     updatedAt_ = std::max(updatedAt_, now);
   }
 
-  /// @return events a second.
+  /// @return events per second.
   double perSecond(Time now, Duration halfLife) const {
     return weightAt(now, halfLife) / (toSeconds(halfLife) * kHalfLifeIntegral);
   }
 
-  /// @return the decayed number of events.
+  /// @return the decayed event count.
   double weightAt(Time now, Duration halfLife) const {
     return weight_ * decayOver(std::max(Duration(0), now - updatedAt_), halfLife);
   }
 
  private:
-  /// Integral of 2^-t over all time.
+  /// Integral of 2^-t from 0 to infinity.
   static constexpr double kHalfLifeIntegral = 1.4426950408889634;
 
   double weight_ = 0;
--- a/src/routing/engine_load_score.h
+++ b/src/routing/engine_load_score.h
@@ -1,6 +1,6 @@
 /// @file
-/// Load of an engine as the policies see it: the engine's lagging report plus what this node sent
-/// there since.
+/// Load of an engine as the policies see it: the engine's last report, which lags, plus the
+/// requests that this node has sent there since.
 #pragma once
 
 #include <vector>
@@ -9,19 +9,20 @@
 
 namespace fernmoor {
 
-/// @return requests at the engine, running or waiting, with those that this node placed since.
+/// @return requests running or waiting at the engine, including those that this node placed since
+/// the report.
 int64_t outstandingRequests(const EngineCandidate& candidate);
 
-/// Prefill work that is believed to be still ahead of a new request. What the engine can have
-/// prefilled since it measured its load is taken off.
-/// @return seconds; 0 where the engine's prefill rate is unknown.
+/// Estimates the prefill work queued ahead of a new request, less what the engine can have
+/// prefilled since it measured its load.
+/// @return seconds; 0 if the engine's prefill rate is unknown.
 double prefillQueueSeconds(const EngineCandidate& candidate, Time now);
 
-/// Load of the load-only policies: fullness of the batch (1 is a full one) plus seconds of queued
-/// prefill, so that either kind of pressure tells.
+/// Score of the load-based policies: batch occupancy (1 means full) plus seconds of queued prefill,
+/// so that either kind of load raises the score.
 double engineLoadScore(const EngineCandidate& candidate, Time now);
 
-/// @return the mean of engineLoadScore over the candidates.
+/// @return the mean of engineLoadScore() over the candidates.
 double meanLoadScore(const std::vector<EngineCandidate>& candidates, Time now);
 
 }  // namespace fernmoor
--- a/src/routing/hot_prefix_tracker.cpp
+++ b/src/routing/hot_prefix_tracker.cpp
@@ -7,8 +7,9 @@
 
 namespace {
 
-/// Share of the entries that one clean-up drops, so that its cost is spread over many requests.
-constexpr size_t kDroppedShare = 4;
+/// One clean-up evicts 1/kEvictionDivisor of the entries, which amortizes its cost over many
+/// requests.
+constexpr size_t kEvictionDivisor = 4;
 
 }  // namespace
 
@@ -19,7 +20,7 @@
 
 size_t HotPrefixTracker::countRequest(uint64_t prefix, Time now) {
   if (rates_.size() >= maximumEntries_ && rates_.count(prefix) == 0) {
-    dropColdest(now);
+    evictColdest(now);
   }
   rates_[prefix].add(1.0, now, halfLife_);
   return homes(prefix, now);
@@ -34,20 +35,20 @@
   return 1 + static_cast<size_t>(rate(prefix, now) / requestsPerHome_);
 }
 
-void HotPrefixTracker::dropColdest(Time now) {
+void HotPrefixTracker::evictColdest(Time now) {
   std::vector<double> weights;
   weights.reserve(rates_.size());
   for (const auto& entry : rates_) {
     weights.push_back(entry.second.weightAt(now, halfLife_));
   }
-  const auto cut = weights.begin() + static_cast<ptrdiff_t>(weights.size() / kDroppedShare);
+  const auto cut = weights.begin() + static_cast<ptrdiff_t>(weights.size() / kEvictionDivisor);
   std::nth_element(weights.begin(), cut, weights.end());
-  const double bound = *cut;
-  size_t toDrop = rates_.size() / kDroppedShare + 1;
-  for (auto entry = rates_.begin(); entry != rates_.end() && toDrop > 0;) {
-    if (entry->second.weightAt(now, halfLife_) <= bound) {
+  const double weightLimit = *cut;
+  size_t toEvict = rates_.size() / kEvictionDivisor + 1;
+  for (auto entry = rates_.begin(); entry != rates_.end() && toEvict > 0;) {
+    if (entry->second.weightAt(now, halfLife_) <= weightLimit) {
       entry = rates_.erase(entry);
-      --toDrop;
+      --toEvict;
     } else {
       ++entry;
     }
--- a/src/routing/hot_prefix_tracker.h
+++ b/src/routing/hot_prefix_tracker.h
@@ -1,5 +1,6 @@
 /// @file
-/// How hot each prefix is at this node, and how many home engines it therefore gets.
+/// Tracks the request rate of each prefix at this node and derives how many home engines (see
+/// prefix_affinity.h) the prefix gets.
 #pragma once
 
 #include <cstdint>
@@ -11,23 +12,23 @@
 
 namespace fernmoor {
 
-/// Exponentially decaying request rates of prefixes, bounded in memory. Not thread-safe.
+/// Exponentially decaying request rates of at most hotPrefixEntries prefixes. Not thread-safe.
 class HotPrefixTracker {
  public:
   explicit HotPrefixTracker(const Knobs& knobs);
 
   /// Counts one request for the prefix.
-  /// @return its homes from now on: one, and one more for each hotPrefixRequestsPerHome.
+  /// @return its number of homes: one, plus one per hotPrefixRequestsPerHome requests per second.
   size_t countRequest(uint64_t prefix, Time now);
-  /// @return the homes of the prefix now, without counting a request.
+  /// @return the prefix's number of homes, without counting a request.
   size_t homes(uint64_t prefix, Time now) const;
-  /// @return the decayed rate in requests a second.
+  /// @return the decayed rate in requests per second.
   double rate(uint64_t prefix, Time now) const;
-  /// @return number of prefixes held.
+  /// @return the number of prefixes tracked.
   size_t size() const { return rates_.size(); }
 
  private:
-  void dropColdest(Time now);
+  void evictColdest(Time now);
 
   double requestsPerHome_;
   Duration halfLife_;
--- a/src/routing/least_expected_time.cpp
+++ b/src/routing/least_expected_time.cpp
@@ -1,9 +1,10 @@
 /// @file
-/// The project's own policy: the engine with the least expected time to first token. Its terms are
-/// the part of the prefill queue that is served before the request, the part of the prompt that has
-/// to be recomputed (weighted by the row's recomputationWeight), the wait for a place in the batch
-/// and the fullness of the batch. Engines that are no home of the prefix pay a small penalty, so
-/// that a new prefix goes to one place; docs/ROUTING.md has the figures.
+/// Policy that chooses the engine with the least expected time to first token; it is specific to
+/// this project. The score adds the part of the prefill queue that is served before the request,
+/// the part of the prompt that has to be recomputed (weighted by the row's recomputationWeight),
+/// the wait for a batch slot and the batch occupancy. Engines that are not a home of the prefix get
+/// a small penalty, so that a new prefix is not scattered over several engines. docs/ROUTING.md has
+/// the figures.
 #include <algorithm>
 
 #include "common/lock_order.h"
@@ -16,9 +17,9 @@
 
 namespace {
 
-/// Used where an engine has not yet told its speed; only its order of magnitude matters.
+/// Used until an engine reports its prefill rate; only the order of magnitude matters.
 constexpr double kAssumedPrefillTokensPerSecond = 10000;
-/// Used where the caller gave no bound on the answer's length.
+/// Used if the caller set no limit on the answer's length.
 constexpr int64_t kAssumedOutputTokens = 128;
 
 double prefillRate(const EngineCandidate& candidate) {
@@ -26,7 +27,7 @@
   return reported > 0 ? reported : kAssumedPrefillTokensPerSecond;
 }
 
-/// @return seconds until a place in the batch comes free, 0 while there is one.
+/// @return expected seconds until a batch slot is free; 0 if one is free now.
 double slotWaitSeconds(const RoutingRequest& request, const EngineCandidate& candidate) {
   const EngineLoad& load = candidate.engine.load;
   const int64_t ahead = outstandingRequests(candidate) + 1 - load.maxStreams;
@@ -39,29 +40,29 @@
   return static_cast<double>(ahead) * streamSeconds / static_cast<double>(load.maxStreams);
 }
 
-double missedSeconds(const RoutingRequest& request, const EngineCandidate& candidate) {
+double recomputationSeconds(const RoutingRequest& request, const EngineCandidate& candidate) {
   const int64_t matched = candidate.matchedBlocks * kTokensPerBlock;
-  const int64_t missed = std::max<int64_t>(0, request.chain->tokenCount - matched);
-  return static_cast<double>(missed) / prefillRate(candidate);
+  const int64_t uncachedTokens = std::max<int64_t>(0, request.chain->tokenCount - matched);
+  return static_cast<double>(uncachedTokens) / prefillRate(candidate);
 }
 
-/// @return part of the batch that is taken; more than 1 where requests wait for it.
+/// @return outstanding requests per batch slot; more than 1 if requests wait for a slot.
 double batchFullness(const EngineCandidate& candidate) {
   const int64_t slots = std::max<int64_t>(1, candidate.engine.load.maxStreams);
   return static_cast<double>(outstandingRequests(candidate)) / static_cast<double>(slots);
 }
 
-/// The terms of one engine's score, in seconds.
+/// Expected time to first token on one engine, in seconds.
 struct ExpectedTime {
   double queue = 0;
-  double missed = 0;
+  double recomputation = 0;
   double slotWait = 0;
-  double total() const { return queue + missed + slotWait; }
+  double total() const { return queue + recomputation + slotWait; }
 };
 
 std::string describe(const ExpectedTime& time, const EngineCandidate& candidate, size_t homes) {
   return "expected " + std::to_string(time.total()) + " s: queue " + std::to_string(time.queue) +
-         ", recomputation " + std::to_string(time.missed) + ", batch " +
+         ", recomputation " + std::to_string(time.recomputation) + ", batch " +
          std::to_string(time.slotWait) + "; " + std::to_string(candidate.matchedBlocks) +
          " blocks matched, " + std::to_string(homes) + " homes";
 }
@@ -90,7 +91,8 @@
       const EngineCandidate& candidate = candidates[order[rank]];
       const ExpectedTime time = expectedTime(request, candidate, now);
       const double penalty = rank < homes ? 0 : nonHomePenalty_;
-      const double score = time.queue + time.slotWait + time.missed * request.recomputationWeight +
+      const double score = time.queue + time.slotWait +
+                           time.recomputation * request.recomputationWeight +
                            batchFullness(candidate) * fullnessSeconds_ + penalty;
       if (rank == 0 || score < bestScore) {
         bestScore = score;
@@ -109,7 +111,7 @@
     const bool interactive = request.deadlineClass == DeadlineClass::kInteractive;
     ExpectedTime time;
     time.queue = prefillQueueSeconds(candidate, now) * (interactive ? interactiveQueueShare_ : 1.0);
-    time.missed = missedSeconds(request, candidate);
+    time.recomputation = recomputationSeconds(request, candidate);
     time.slotWait = slotWaitSeconds(request, candidate);
     return time;
   }
--- a/src/routing/least_loaded.cpp
+++ b/src/routing/least_loaded.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// Least loaded: the engine with the least load score, wherever the prefix is.
+/// Least loaded: chooses the engine with the lowest load score, regardless of prefix caches.
 #include "routing/engine_load_score.h"
 #include "routing/policies.h"
 
@@ -14,7 +14,8 @@
   RoutingChoice choose(const RoutingRequest& request,
                        const std::vector<EngineCandidate>& candidates, Time now,
                        Random& random) override {
-    // Starts at a random engine, so that nodes which see the same loads don't all take the first.
+    // Ties are broken by a random start, so that nodes with the same view of the loads don't all
+    // choose the same engine.
     const size_t start = random.below(candidates.size());
     size_t best = start;
     double bestScore = engineLoadScore(candidates[start], now);
--- a/src/routing/placement_memory.cpp
+++ b/src/routing/placement_memory.cpp
@@ -8,7 +8,8 @@
 
 namespace {
 
-/// Depths that are remembered: every 8 blocks, and every 64 blocks from depth 512 on.
+/// Prefix depths, in blocks, at which a mark is stored: every 8 blocks up to depth 512, then every
+/// 64 blocks.
 constexpr size_t kFineStep = 8;
 constexpr size_t kFineDepth = 512;
 constexpr size_t kCoarseStep = 64;
--- a/src/routing/placement_memory.h
+++ b/src/routing/placement_memory.h
@@ -1,6 +1,6 @@
 /// @file
-/// What this node sent to which engine lately. Until the engine's report tells of it, a prefix sent
-/// there counts as cached and a request sent there as load.
+/// Records which requests this node recently sent to which engine. Until an engine's report covers
+/// them, their prefixes count as cached there and the requests count as load.
 #pragma once
 
 #include <cstdint>
@@ -17,33 +17,33 @@
 
 namespace fernmoor {
 
-/// Load that this node brought to an engine after its report.
+/// Load that this node added to an engine after the engine's last report.
 struct PlacedLoad {
-  /// Tokens sent, and those that the engine could have prefilled while it had nothing to do: added
-  /// to the reported queue, less the whole time since at the engine's rate, they give its queue
-  /// now.
+  /// Prompt tokens sent, plus the tokens that the engine could have prefilled while its queue was
+  /// empty. The idle part makes up for prefillQueueSeconds(), which subtracts the whole time since
+  /// the report at the engine's rate from the reported queue plus this value.
   int64_t prefillTokens = 0;
-  int64_t streams = 0;  ///< Started less ended, so it may be negative.
+  int64_t streams = 0;  ///< Started minus ended; may be negative.
 };
 
-/// Not thread-safe; callers guard it with rank kRouting.
+/// Not thread-safe; callers guard it with a lock of rank kRouting.
 class PlacementMemory {
  public:
   explicit PlacementMemory(const Knobs& knobs);
 
-  /// Notes that a request was sent.
+  /// Records that a request was sent to the engine.
   /// @param missedTokens prompt tokens that the engine is expected to prefill.
   void recordSent(const EngineLife& life, const BlockChain& chain, int64_t missedTokens, Time now);
-  /// Notes that a request sent by this node has ended there, or was given up on.
+  /// Records that a request sent by this node ended on the engine or was abandoned.
   void recordEnded(const EngineLife& life, Time now);
 
-  /// @return leading blocks that this node sent there within placedPrefixLifetime; exact to 8
-  /// blocks up to depth 512 and to 64 blocks beyond.
+  /// @return number of leading blocks that this node sent there within placedPrefixLifetime,
+  /// rounded down to a multiple of 8 up to depth 512 and in steps of 64 beyond.
   int64_t expectedBlocks(const EngineLife& life, const BlockChain& chain, Time now) const;
-  /// @return load brought there after the engine measured its own.
+  /// @return the load added after the engine took the measurement in `report`.
   PlacedLoad loadSince(const EngineLife& life, const EngineLoad& report) const;
 
-  /// Forgets what is too old. Call it about once a second.
+  /// Removes expired marks and load changes. Call it about once per second.
   void expire(Time now);
   size_t markCount() const { return marks_.size(); }
 
@@ -63,8 +63,9 @@
   Duration prefixLifetime_;
   Duration loadLifetime_;
   size_t maximumMarks_;
-  std::unordered_map<uint64_t, Time> marks_;  ///< Key of engine life and block: when last sent.
-  std::deque<MarkOrder> markOrder_;           ///< Oldest first; a renewed mark stands twice.
+  /// Time of the last send, by hash of engine incarnation and block.
+  std::unordered_map<uint64_t, Time> marks_;
+  std::deque<MarkOrder> markOrder_;  ///< Oldest first; renewed marks appear repeatedly.
   std::unordered_map<EngineId, std::deque<LoadChange>> loads_;
 };
 
--- a/src/routing/power_of_two_choices.cpp
+++ b/src/routing/power_of_two_choices.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// Power of two choices: the less loaded of two engines drawn at random.
+/// Power of two choices: chooses the less loaded of two random engines.
 #include "routing/engine_load_score.h"
 #include "routing/policies.h"
 
--- a/src/routing/prefix_affinity.h
+++ b/src/routing/prefix_affinity.h
@@ -1,5 +1,6 @@
 /// @file
-/// Which engines are a prefix's homes: the same on every node, without asking anybody.
+/// Home engines of a prefix, that is, the engines that requests with this prefix prefer. Rendezvous
+/// hashing gives the same order on every node without communication.
 #pragma once
 
 #include <vector>
@@ -8,14 +9,15 @@
 
 namespace fernmoor {
 
-/// @return the hash that stands for the request's prefix: that of its block number `depth`, of its
-/// last block where the prompt is shorter, of its row where it has no whole block.
+/// @return the hash that identifies the request's prefix: the chained hash of block number `depth`
+/// (counted from 1), of the last block if the prompt is shorter, or of the row if the prompt has no
+/// complete block.
 uint64_t affinityKey(const RoutingRequest& request, int64_t depth);
 
-/// @return indices of the candidates, the best home first (rendezvous order of their engine ids).
+/// @return indices of the candidates in rendezvous order of their engine ids, the first home first.
 std::vector<size_t> homeOrder(uint64_t key, const std::vector<EngineCandidate>& candidates);
 
-/// @return the best home of the key among the candidates.
+/// @return the index of the key's first home among the candidates.
 size_t homeOf(uint64_t key, const std::vector<EngineCandidate>& candidates);
 
 }  // namespace fernmoor
--- a/src/routing/prefix_rendezvous.cpp
+++ b/src/routing/prefix_rendezvous.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// Rendezvous hashing of the prefix: its first home, whatever the load.
+/// Rendezvous hashing of the prefix: chooses its first home, regardless of load.
 #include "routing/policies.h"
 #include "routing/prefix_affinity.h"
 
--- a/src/routing/round_robin.cpp
+++ b/src/routing/round_robin.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// Round robin: each engine in turn.
+/// Round robin: cycles through the engines.
 #include <map>
 
 #include "common/lock_order.h"
@@ -17,20 +17,20 @@
                        const std::vector<EngineCandidate>& candidates, Time now,
                        Random& random) override {
     RoutingChoice choice;
-    choice.candidate = nextTurn(candidates.front().engine.model) % candidates.size();
-    choice.reason = "its turn among " + std::to_string(candidates.size()) + " engines";
+    choice.candidate = nextIndex(candidates.front().engine.model) % candidates.size();
+    choice.reason = "next in turn among " + std::to_string(candidates.size()) + " engines";
     return choice;
   }
 
  private:
-  /// Counted for each model apart, since alternating models would else skip engines.
-  uint64_t nextTurn(const ModelId& model) {
+  /// Counts each model separately; with a shared counter, alternating models would skip engines.
+  uint64_t nextIndex(const ModelId& model) {
     const RankedLock lock(mutex_);
-    return turns_[model]++;
+    return nextIndices_[model]++;
   }
 
   RankedMutex mutex_{LockRank::kRouting};
-  std::map<ModelId, uint64_t> turns_;
+  std::map<ModelId, uint64_t> nextIndices_;
 };
 
 }  // namespace
--- a/src/routing/routing_policy.cpp
+++ b/src/routing/routing_policy.cpp
@@ -6,11 +6,11 @@
 
 namespace {
 
-using PolicyMaker = std::unique_ptr<RoutingPolicy> (*)(const Knobs&);
+using PolicyFactory = std::unique_ptr<RoutingPolicy> (*)(const Knobs&);
 
 struct RegisteredPolicy {
   const char* name;
-  PolicyMaker make;
+  PolicyFactory make;
 };
 
 constexpr RegisteredPolicy kPolicies[] = {
--- a/src/routing/routing_policy.h
+++ b/src/routing/routing_policy.h
@@ -1,5 +1,6 @@
 /// @file
-/// Interface of the policies that choose an engine. One small class and file for each policy.
+/// Interface of the policies that choose the engine for a request, and creation of a policy by
+/// name.
 #pragma once
 
 #include <memory>
@@ -15,13 +16,13 @@
 
 namespace fernmoor {
 
-/// An engine that could serve the request, with what is known of it for this prompt.
+/// An engine that could serve the request, with its expected cache match for this prompt.
 struct EngineCandidate {
   EngineState engine;
-  int64_t matchedBlocks = 0;  ///< Leading blocks that its owner believes cached; may be wrong.
-  bool matchKnown = false;    ///< False where no owner answered in time.
-  int64_t placedPrefillTokens = 0;  ///< Sent there by this node since the load was measured.
-  int64_t placedStreams = 0;        ///< Likewise, requests.
+  int64_t matchedBlocks = 0;        ///< Leading blocks believed to be cached there; may be wrong.
+  bool matchKnown = false;          ///< False if no owner of the prefix blocks answered in time.
+  int64_t placedPrefillTokens = 0;  ///< Sent by this node since the load was measured.
+  int64_t placedStreams = 0;        ///< Requests started minus ended by this node since.
 };
 
 /// The request as a policy sees it.
@@ -30,31 +31,31 @@
   int64_t priority = 5;
   DeadlineClass deadlineClass = DeadlineClass::kInteractive;
   double recomputationWeight = 1.0;
-  const BlockChain* chain = nullptr;  ///< Never null; owned by the caller for the call's length.
+  const BlockChain* chain = nullptr;  ///< Not null; must outlive the call.
   int64_t expectedOutputTokens = 0;
 };
 
-/// A choice and the reason for it, kept for `fernmoorctl explain`.
+/// The chosen engine and the reason for it, which `fernmoorctl explain` shows.
 struct RoutingChoice {
   size_t candidate = 0;        ///< Index into the candidates.
-  double expectedSeconds = 0;  ///< Expected time to first token; 0 where the policy has none.
+  double expectedSeconds = 0;  ///< Expected time to first token; 0 if the policy computes none.
   std::string reason;          ///< One line for operators.
 };
 
-/// Chooses among candidates that are live and hold the right weights. Thread-safe.
+/// Chooses among candidates that are live and hold the requested weights. Thread-safe.
 class RoutingPolicy {
  public:
   virtual ~RoutingPolicy() = default;
   /// @return the policy's name in settings and reports, e.g. "least_expected_time".
   virtual std::string name() const = 0;
-  /// @param candidates at least one.
-  /// @param random the caller's generator.
+  /// @param candidates must not be empty.
+  /// @param random source of randomness; not shared between threads.
   virtual RoutingChoice choose(const RoutingRequest& request,
                                const std::vector<EngineCandidate>& candidates, Time now,
                                Random& random) = 0;
 };
 
-/// @return the policy of that name, or an error that lists the names.
+/// @return the named policy, or an error that lists the known names.
 Result<std::unique_ptr<RoutingPolicy>> makeRoutingPolicy(const std::string& name,
                                                          const Knobs& knobs);
 
--- a/src/routing/two_thinning.cpp
+++ b/src/routing/two_thinning.cpp
@@ -1,6 +1,6 @@
 /// @file
-/// Two-thinning: the suggested engine (first home of the prefix) is refused once when it is over a
-/// threshold; the second one is drawn at random and taken unseen, so that it needs no question.
+/// Two-thinning: takes the first home of the prefix unless its load score exceeds the mean by more
+/// than a threshold; then takes a random engine without looking at its load.
 #include "routing/engine_load_score.h"
 #include "routing/policies.h"
 #include "routing/prefix_affinity.h"
