--- a/src/gateway/answer_headers.h
+++ b/src/gateway/answer_headers.h
@@ -1,6 +1,6 @@
 /// @file
-/// Which headers of an answer are passed on: all but those that concern one connection only
-/// (RFC 9110, section 7.6.1) and the framing, which the front end states anew.
+/// Selects the headers of an answer that are forwarded: all but the connection-specific ones
+/// (RFC 9110, section 7.6.1) and those for the framing, which the front end sets itself.
 #pragma once
 
 #include <Poco/Net/HTTPResponse.h>
@@ -11,7 +11,7 @@
 
 namespace fernmoor::gateway {
 
-/// @return whether a header concerns one connection only or frames the body.
+/// @return whether a header is specific to one connection or defines the framing of the body.
 bool isConnectionHeader(const std::string& name);
 
 /// @param method of the request; decides whether the answer has a body.
--- a/src/gateway/backend_choice.cpp
+++ b/src/gateway/backend_choice.cpp
@@ -11,48 +11,52 @@
 
 namespace {
 
-/// A home takes this many times the mean of this node's requests before it passes one on.
+/// A home accepts up to this multiple of the mean number of this node's requests per back end;
+/// beyond it, other homes are preferred.
 constexpr double kBoundedLoadFactor = 1.5;
-/// Requests that every back end may have whatever the mean is.
+/// Requests that each back end may have in addition, whatever the mean.
 constexpr double kBoundedLoadSlack = 4;
-/// Each costs a trip to another node.
-constexpr size_t kMostHomesAsked = 3;
-/// Homes at hand in case that nothing moves at some: a quarter of the engines may have stopped.
-constexpr size_t kMostHomes = 6;
-/// A request's end is told within a few trips between nodes; lost messages are to be bridged only.
-constexpr Duration kForgetMargin{500000};
-/// In tokens: counts a request however much waits.
+/// Each query costs a round trip to another node.
+constexpr size_t kMaxHomesQueried = 3;
+/// Candidate homes, with spares for stalled ones: a quarter of the engines may have stopped.
+constexpr size_t kMaxHomes = 6;
+/// Reservations expire this long (500 ms) after the deadline. The end of a request is normally
+/// reported within a few trips between nodes; the margin only covers lost messages.
+constexpr Duration kReservationMargin{500000};
+/// Bound in tokens that counts a request however many tokens wait.
 constexpr uint64_t kNoBound = std::numeric_limits<uint64_t>::max();
-/// What a back end of another zone costs, in requests.
+/// Load penalty for a back end in another zone, in requests.
 constexpr double kOtherZonePenalty = 1.5;
 
 using Candidates = std::vector<const BackendView*>;
 
-/// The first of these that has any candidates gives the choice.
-enum class Resort { kSound, kAvoided, kLeaving };
-constexpr size_t kResorts = 3;
+/// Preference classes of candidates; the first class that has any is used.
+enum class PreferenceClass { kSound, kAvoided, kLeaving };
+constexpr size_t kPreferenceClasses = 3;
 
-Resort resortOf(const BackendView& candidate) {
+PreferenceClass preferenceClassOf(const BackendView& candidate) {
   if (candidate.isLeaving) {
-    return Resort::kLeaving;
+    return PreferenceClass::kLeaving;
   }
-  return candidate.isAvoided ? Resort::kAvoided : Resort::kSound;
+  return candidate.isAvoided ? PreferenceClass::kAvoided : PreferenceClass::kSound;
 }
 
-/// @return those that were not tried and do not rest, of the first resort that has any.
-Candidates usableOf(const std::vector<BackendView>& candidates, const ChoiceContext& context) {
-  std::array<Candidates, kResorts> usable;
+/// @return the candidates that were not tried and are not resting, from the best class that has
+/// any.
+Candidates usableCandidates(const std::vector<BackendView>& candidates,
+                            const ChoiceContext& context) {
+  std::array<Candidates, kPreferenceClasses> usable;
   for (const BackendView& candidate : candidates) {
     if (context.tried.count(candidate.listing->id) == 0 && candidate.restsUntil <= context.now) {
-      usable[static_cast<size_t>(resortOf(candidate))].push_back(&candidate);
+      usable[static_cast<size_t>(preferenceClassOf(candidate))].push_back(&candidate);
     }
   }
   const auto first = std::find_if(usable.begin(), usable.end(),
-                                  [](const Candidates& resort) { return !resort.empty(); });
+                                  [](const Candidates& group) { return !group.empty(); });
   return first == usable.end() ? Candidates() : std::move(*first);
 }
 
-/// @return the part by which the request's home is found: the last one that others share.
+/// @return the id of the part that determines the request's home: the last shared one.
 std::optional<std::string> affinityPart(const IncomingRequest& request) {
   if (!request.row->usesPrefixes || request.sharedPartCount() == 0) {
     return std::nullopt;
@@ -83,9 +87,10 @@
   return best;
 }
 
-/// @return the first of the candidates in the order in which a request with shared parts is to try
-///         them: its home first, those beyond their share of this node's requests last. Empty for
-///         other requests.
+/// @return the best candidates in the order in which a request with shared parts tries them: its
+/// home
+///         first, back ends that exceed their share of this node's requests last. Empty for
+///         requests without shared parts.
 Candidates firstHomes(const IncomingRequest& request, const Candidates& usable) {
   const std::optional<std::string> part = affinityPart(request);
   if (!part || usable.empty()) {
@@ -101,14 +106,13 @@
     (each->inFlight < bound ? within : beyond).push_back(each);
   }
   const auto hashOf = [](const BackendView* each) { return each->incarnation; };
-  Candidates homes = rendezvousTop(key, std::move(within), kMostHomes, hashOf);
-  const Candidates others =
-      rendezvousTop(key, std::move(beyond), kMostHomes - homes.size(), hashOf);
+  Candidates homes = rendezvousTop(key, std::move(within), kMaxHomes, hashOf);
+  const Candidates others = rendezvousTop(key, std::move(beyond), kMaxHomes - homes.size(), hashOf);
   homes.insert(homes.end(), others.begin(), others.end());
   return homes;
 }
 
-/// @return tokens of the parts that other requests share.
+/// @return the number of tokens in the shared parts.
 uint64_t sharedTokensOf(const IncomingRequest& request) {
   uint64_t tokens = 0;
   for (size_t index = 0; index < request.sharedPartCount(); ++index) {
@@ -117,7 +121,7 @@
   return tokens;
 }
 
-/// @return those that state no limit, or that may take a request now.
+/// @return the candidates that state no limit or may accept a request now.
 Candidates permittingNow(Candidates candidates, const EngineLoads& loads) {
   candidates.erase(std::remove_if(candidates.begin(), candidates.end(),
                                   [&](const BackendView* each) {
@@ -128,31 +132,31 @@
   return candidates;
 }
 
-EngineDemand permitOnly(const IncomingRequest& request, Time now, Duration longestWait) {
+EngineDemand permitDemand(const IncomingRequest& request, Time now, Duration longestWait) {
   EngineDemand demand = demandOf(request, now);
   demand.longestPermitWait = longestWait;
   demand.isCounted = false;
   return demand;
 }
 
-BackendChoice unaskedChoice(const BackendView& backend) {
+BackendChoice choiceWithoutReservation(const BackendView& backend) {
   BackendChoice choice;
   choice.backend = backend;
   choice.pendingTokens = backend.pendingTokens;
   return choice;
 }
 
-BackendChoice permittedChoice(const BackendView& backend, const LoadAnswer& answer) {
-  BackendChoice choice = unaskedChoice(backend);
+BackendChoice reservedChoice(const BackendView& backend, const LoadAnswer& answer) {
+  BackendChoice choice = choiceWithoutReservation(backend);
   choice.ticket = answer.ticket;
   choice.permitWait = answer.permitWait;
   return choice;
 }
 
-/// A home that was asked and had too much to do.
+/// The best home so far among those that were queried and are too busy.
 struct BusyHome {
   BackendChoice choice;
-  uint64_t cost = 0;  ///< Tokens to be read or brought there before the request's own are done.
+  uint64_t cost = 0;  ///< Tokens to read or transfer there before the request's own.
 };
 
 }  // namespace
@@ -161,28 +165,29 @@
   EngineDemand demand;
   demand.promptTokens = request.promptTokens;
   demand.memoryTokens = request.promptTokens + request.expectedAnswerTokens;
-  demand.forgetAfter = std::max(Duration(0), request.deadline - now) + kForgetMargin;
+  demand.forgetAfter = std::max(Duration(0), request.deadline - now) + kReservationMargin;
   return demand;
 }
 
 std::optional<BackendChoice> chooseHome(const IncomingRequest& request,
                                         const std::vector<BackendView>& candidates,
                                         const ChoiceContext& context, EngineLoads& loads) {
-  const Candidates homes = firstHomes(request, permittingNow(usableOf(candidates, context), loads));
+  const Candidates homes =
+      firstHomes(request, permittingNow(usableCandidates(candidates, context), loads));
   const uint64_t shared = sharedTokensOf(request);
   const EngineDemand demand = demandOf(request, context.now);
-  // A wait as long as the request's own reading is not worth a question to another node.
+  // A wait no longer than reading the request's own prompt is not worth another query.
   const uint64_t shortWait = std::max(shared, request.promptTokens);
   std::optional<BusyHome> best;
   size_t asked = 0;
-  for (size_t index = 0; index < homes.size() && asked < kMostHomesAsked; ++index) {
+  for (size_t index = 0; index < homes.size() && asked < kMaxHomesQueried; ++index) {
     const BackendView& home = *homes[index];
-    // All but the first have to get the shared parts from elsewhere.
-    const uint64_t toBring = index == 0 ? 0 : shared;
-    if (best && best->cost <= toBring) {
+    // All homes but the first must fetch the shared parts from elsewhere.
+    const uint64_t tokensToFetch = index == 0 ? 0 : shared;
+    if (best && best->cost <= tokensToFetch) {
       break;
     }
-    const uint64_t bound = best ? std::min(shortWait, best->cost - toBring) : shortWait;
+    const uint64_t bound = best ? std::min(shortWait, best->cost - tokensToFetch) : shortWait;
     const std::optional<LoadAnswer> answer =
         loads.reserve(home.incarnation, demand, context.room, bound);
     const bool isUnanswered = !answer && loads.permitDue(home.incarnation);
@@ -203,7 +208,7 @@
     if (choice.ticket || (!answer && home.pendingTokens < bound)) {
       return choice;
     }
-    const uint64_t cost = choice.pendingTokens + toBring;
+    const uint64_t cost = choice.pendingTokens + tokensToFetch;
     if (!best || cost < best->cost) {
       best = BusyHome{choice, cost};
     }
@@ -211,7 +216,7 @@
   if (!best) {
     return std::nullopt;
   }
-  // It is counted there all the same: else nobody would know how much waits beyond the bound.
+  // Reserve there without a bound, so that load beyond the bound is counted, too.
   const std::optional<LoadAnswer> counted =
       best->choice.expected
           ? loads.reserve(best->choice.backend.incarnation, demand, context.room, kNoBound)
@@ -228,18 +233,18 @@
                                                const std::vector<BackendView>& candidates,
                                                const ChoiceContext& context, EngineLoads& loads,
                                                Random& random) {
-  Candidates usable = permittingNow(usableOf(candidates, context), loads);
-  const EngineDemand demand = permitOnly(request, context.now, Duration(0));
+  Candidates usable = permittingNow(usableCandidates(candidates, context), loads);
+  const EngineDemand demand = permitDemand(request, context.now, Duration(0));
   for (size_t asked = 0; !usable.empty();) {
     const BackendView& best = *leastLoaded(usable, context.zone, random);
     if (!loads.permitDue(best.incarnation)) {
-      return unaskedChoice(best);
+      return choiceWithoutReservation(best);
     }
-    if (asked < kMostHomesAsked) {
+    if (asked < kMaxHomesQueried) {
       ++asked;
       const auto answer = loads.reserve(best.incarnation, demand, context.room, kNoBound);
       if (answer && answer->isGranted) {
-        return permittedChoice(best, *answer);
+        return reservedChoice(best, *answer);
       }
     }
     usable.erase(std::find(usable.begin(), usable.end(), &best));
@@ -252,7 +257,7 @@
                                                  const ChoiceContext& context, EngineLoads& loads,
                                                  Duration longestWait) {
   std::vector<std::pair<Duration, const BackendView*>> due;
-  for (const BackendView* each : usableOf(candidates, context)) {
+  for (const BackendView* each : usableCandidates(candidates, context)) {
     const std::optional<Duration> wait = loads.permitDue(each->incarnation);
     if (!wait || *wait <= longestWait) {
       due.emplace_back(wait.value_or(Duration(0)), each);
@@ -260,16 +265,16 @@
   }
   std::stable_sort(due.begin(), due.end(),
                    [](const auto& left, const auto& right) { return left.first < right.first; });
-  due.resize(std::min(due.size(), kMostHomesAsked));
-  const EngineDemand demand = permitOnly(request, context.now, longestWait);
+  due.resize(std::min(due.size(), kMaxHomesQueried));
+  const EngineDemand demand = permitDemand(request, context.now, longestWait);
   for (const auto& each : due) {
     const BackendView& backend = *each.second;
     const auto answer = loads.reserve(backend.incarnation, demand, context.room, kNoBound);
     if (answer && answer->isGranted) {
-      return permittedChoice(backend, *answer);
+      return reservedChoice(backend, *answer);
     }
     if (!answer && loads.mayGoUnasked(backend.incarnation)) {
-      return unaskedChoice(backend);
+      return choiceWithoutReservation(backend);
     }
   }
   return std::nullopt;
--- a/src/gateway/backend_protocol.h
+++ b/src/gateway/backend_protocol.h
@@ -1,5 +1,5 @@
 /// @file
-/// How a back end is spoken to: what the request path needs of an adapter.
+/// Interface of the request path to an adapter for a back end's protocol.
 #pragma once
 
 #include <Poco/Net/HTTPRequest.h>
@@ -14,41 +14,42 @@
 
 namespace fernmoor::gateway {
 
-/// What is said to a back end beside the caller's own request.
+/// What is sent to a back end in addition to the caller's request.
 struct SendPlan {
   BackendListing backend;
-  uint64_t weightsVersion = 0;  ///< The back end must hold these; 0: unknown.
-  std::string cacheScope;       ///< Requests share cached prompts only within one scope.
-  PartTransfer transfer;        ///< Where its shared parts are taken from and left.
+  uint64_t weightsVersion = 0;  ///< The back end must hold this version; 0: unknown.
+  std::string cacheScope;       ///< Cached prompts are shared within one scope only.
+  PartTransfer transfer;        ///< Where its shared parts are fetched from and saved to.
   int urgency = 0;              ///< 0 is the most urgent.
-  std::string resumeAfter;      ///< Id of the last event delivered; empty: from the start.
+  std::string resumeAfter;      ///< Id of the last event delivered; empty: start of stream.
 };
 
-/// What an answer's head tells of the requests a second that its back end takes from all nodes.
+/// How the head of an answer states the limit of its back end, in requests per second from all
+/// nodes.
 enum class LimitMention {
-  kUntold,  ///< Nothing: another incarnation answered, or none is named where one may be left out.
-  kNone,    ///< There is no limit.
-  kStated,  ///< It is AnswerFacts::limit.
-  kUnreadable,  ///< It is no decimal number; it neither states nor ends a limit.
+  kUntold,      ///< Nothing: another incarnation answered, or none is named where it is optional.
+  kNone,        ///< No limit applies.
+  kStated,      ///< The limit is AnswerFacts::limit.
+  kUnreadable,  ///< Not a decimal number; neither sets nor clears a limit.
 };
 
-/// What an answer's head tells.
+/// Contents of the head of an answer.
 struct AnswerFacts {
   bool isOurs = false;          ///< It answers the request that was sent.
-  bool didNotRun = false;       ///< The back end vouches that the request did not run.
-  bool isWrongLife = false;     ///< Another life of the back end, or other weights.
-  uint64_t weightsVersion = 0;  ///< 0: not told.
+  bool didNotRun = false;       ///< The back end states that the request did not run.
+  bool isWrongLife = false;     ///< Answered by another incarnation, or with other weights.
+  uint64_t weightsVersion = 0;  ///< 0: not stated.
   LimitMention limitMention = LimitMention::kUntold;
-  double limit = 0;     ///< Requests a second, 0 or more.
-  bool leaves = false;  ///< The back end says that it leaves.
-  Duration rest{0};     ///< For which it wants no request of this node; 0: it asks for none.
-  bool hasOddWithdrawal = false;  ///< What it says of leaving or rest can't be read.
+  double limit = 0;               ///< Requests per second, 0 or more.
+  bool leaves = false;            ///< The back end announces that it is shutting down.
+  Duration rest{0};               ///< Time for which it wants no request from this node; 0: none.
+  bool hasOddWithdrawal = false;  ///< Its shutdown notice or rest cannot be parsed.
 };
 
 class BackendProtocol {
  public:
   virtual ~BackendProtocol() = default;
-  /// @param timeLeft until the request's deadline, from the instant at which the head is sent.
+  /// @param timeLeft time until the request's deadline when the head is sent.
   virtual void addHeaders(const IncomingRequest& request, const SendPlan& plan, Duration timeLeft,
                           Poco::Net::HTTPRequest& head) const = 0;
   virtual AnswerFacts readAnswer(const IncomingRequest& request,
--- a/src/gateway/caller_channel.h
+++ b/src/gateway/caller_channel.h
@@ -1,5 +1,5 @@
 /// @file
-/// The caller's end of one exchange: what the request path needs of a front end.
+/// Interface of the request path to a front end: the caller's side of one request and its answer.
 #pragma once
 
 #include <Poco/Net/MessageHeader.h>
@@ -14,12 +14,12 @@
 
 namespace fernmoor::gateway {
 
-/// Head of an answer that is passed on.
+/// Head of an answer that is relayed to the caller.
 struct AnswerHead {
   int status = 0;
   std::string reason;
   Poco::Net::MessageHeader headers;       ///< End-to-end headers only.
-  std::optional<uint64_t> contentLength;  ///< None: as long as the stream goes on.
+  std::optional<uint64_t> contentLength;  ///< Not set: until the stream ends.
   bool isBodyless = false;                ///< HEAD, 204, 304.
 };
 
@@ -27,16 +27,16 @@
 class CallerChannel {
  public:
   virtual ~CallerChannel() = default;
-  /// @return false where the caller is gone. So do the others.
+  /// @return false if the caller has disconnected; sendBody() and finish() do the same.
   virtual bool sendHead(const AnswerHead& head) = 0;
   virtual bool sendBody(std::string_view bytes) = 0;
-  /// Ends an answer as complete.
+  /// Ends the answer as complete.
   virtual bool finish() = 0;
-  /// Ends an answer that has begun so that it cannot be taken for complete.
+  /// Aborts an answer that has begun, so that the caller cannot mistake it for a complete one.
   virtual void breakOff() = 0;
-  /// Gives an answer of our own. Only before sendHead().
+  /// Answers with an error of this gateway. Allowed only before sendHead().
   virtual void refuse(const Error& error) = 0;
-  /// The connection, to see the caller leave.
+  /// @return the caller's connection, used to detect a disconnect.
   virtual ByteConnection& connection() = 0;
 };
 
--- a/src/gateway/event_splitter.cpp
+++ b/src/gateway/event_splitter.cpp
@@ -25,23 +25,23 @@
 
 std::optional<RawEvent> EventSplitter::next() {
   while (true) {
-    const size_t end = waiting_.find('\n', scanned_);
+    const size_t end = buffer_.find('\n', scanned_);
     if (end == std::string::npos) {
       if (start_ > 0) {
-        waiting_.erase(0, start_);
+        buffer_.erase(0, start_);
         scanned_ -= start_;
         start_ = 0;
       }
       return std::nullopt;
     }
     const std::string_view line =
-        trimmedLine(std::string_view(waiting_).substr(scanned_, end - scanned_));
+        trimmedLine(std::string_view(buffer_).substr(scanned_, end - scanned_));
     scanned_ = end + 1;
     if (line.substr(0, kIdField.size()) == kIdField) {
       id_ = idOf(line);
     }
     if (line.empty()) {
-      RawEvent event{waiting_.substr(start_, scanned_ - start_), std::move(id_)};
+      RawEvent event{buffer_.substr(start_, scanned_ - start_), std::move(id_)};
       id_.clear();
       start_ = scanned_;
       return event;
--- a/src/gateway/event_splitter.h
+++ b/src/gateway/event_splitter.h
@@ -1,6 +1,7 @@
 /// @file
-/// Cuts the bytes of an event stream (text/event-stream) into whole events without changing them,
-/// so that a stream which breaks off in the middle of an event can go on after the last whole one.
+/// Splits the bytes of an event stream (text/event-stream) into complete events without changing
+/// them, so that a stream that breaks off inside an event can be resumed after the last complete
+/// one.
 #pragma once
 
 #include <optional>
@@ -9,27 +10,27 @@
 
 namespace fernmoor::gateway {
 
-/// One whole event as it came.
+/// One complete event, unchanged.
 struct RawEvent {
   std::string bytes;  ///< Includes the empty line that ends it.
-  std::string id;     ///< Empty where the event has none.
+  std::string id;     ///< Empty if the event has none.
 };
 
 /// Not thread-safe.
 class EventSplitter {
  public:
-  void add(std::string_view bytes) { waiting_.append(bytes); }
-  /// @return the next whole event, or nothing until more bytes come.
+  void add(std::string_view bytes) { buffer_.append(bytes); }
+  /// @return the next complete event, or std::nullopt until more bytes are added.
   std::optional<RawEvent> next();
-  /// @return whether bytes of an event that is not whole wait.
+  /// @return whether bytes of an incomplete event are buffered.
   bool hasPartialEvent() const { return partialBytes() > 0; }
-  /// Of the event that is not whole.
-  size_t partialBytes() const { return waiting_.size() - start_; }
+  /// @return the number of buffered bytes of the incomplete event.
+  size_t partialBytes() const { return buffer_.size() - start_; }
 
  private:
-  std::string waiting_;
-  size_t start_ = 0;    ///< Where the current event begins.
-  size_t scanned_ = 0;  ///< Where the first line that was not yet looked at begins.
+  std::string buffer_;
+  size_t start_ = 0;    ///< Offset of the current event in `buffer_`.
+  size_t scanned_ = 0;  ///< Offset of the first line not scanned yet.
   std::string id_;
 };
 
--- a/src/gateway/incoming_request.h
+++ b/src/gateway/incoming_request.h
@@ -1,5 +1,5 @@
 /// @file
-/// One request as the request path sees it, whichever front end took it.
+/// One request in the form that the request path uses, independent of the front end.
 #pragma once
 
 #include <Poco/Net/MessageHeader.h>
@@ -14,35 +14,35 @@
 
 namespace fernmoor::gateway {
 
-/// One part of a prompt, told by the caller. The last part belongs to the request alone.
+/// One part of a prompt as stated by the caller. The last part is not shared with other requests.
 struct PromptPart {
   std::string id;
   uint64_t tokens = 0;
 };
 
 struct IncomingRequest {
-  std::string id;  ///< The caller's id of this attempt of theirs.
+  std::string id;  ///< The caller's id for its current attempt.
   std::string method;
   std::string target;                ///< Path and query, unchanged.
-  Poco::Net::MessageHeader headers;  ///< Those that are passed on as they came.
+  Poco::Net::MessageHeader headers;  ///< Headers forwarded unchanged.
   std::string body;
-  TrafficTablePtr table;  ///< Keeps the row alive.
+  TrafficTablePtr table;  ///< Owns `row`.
   const Row* row = nullptr;
-  std::string pool;  ///< Which of the row's pools serves it.
+  std::string pool;  ///< The row's pool that serves the request.
   std::optional<Tenant> tenant;
-  std::string key;  ///< The tenant's key; never passed on or logged.
-  Time arrivedAt;   ///< When its first byte was seen.
-  Time deadline;    ///< When the caller stops waiting or the row's timeout ends, the earlier.
+  std::string key;  ///< The tenant's key; never forwarded or logged.
+  Time arrivedAt;   ///< Arrival of its first byte.
+  Time deadline;    ///< The caller's deadline or the row's timeout, whichever is earlier.
   std::string model;
   uint64_t promptTokens = 0;
-  uint64_t mostAnswerTokens = 0;      ///< Bound on the answer's; 0: unknown.
+  uint64_t mostAnswerTokens = 0;      ///< Upper bound; 0: unknown.
   uint64_t expectedAnswerTokens = 0;  ///< The caller's estimate; 0: unknown.
   std::vector<PromptPart> parts;
-  std::string resumeAfter;  ///< Id of the last event that the caller has; empty: none.
+  std::string resumeAfter;  ///< Id of the last event the caller received; empty: none.
 
-  /// @return how many of its parts other requests share: all but the last.
+  /// @return the number of parts that other requests may share: all but the last.
   size_t sharedPartCount() const { return parts.empty() ? 0 : parts.size() - 1; }
-  /// @return whether it may run again after it may have run.
+  /// @return whether it may be run again although it may have run already.
   bool isRepeatable() const {
     return row->repetition == Repetition::kRepeatable || (row->isStream && row->isResumable);
   }
--- a/src/gateway/outcome_log.cpp
+++ b/src/gateway/outcome_log.cpp
@@ -4,8 +4,8 @@
 
 namespace {
 
-/// Of each kind; a line costs some 10 microseconds of processor time.
-constexpr LogBudgetBounds kLinesOfAKind{5, 20};
+/// Log budget for each outcome; a line costs about 10 microseconds of CPU time.
+constexpr LogBudgetBounds kOutcomeLogBudget{5, 20};
 
 }  // namespace
 
@@ -38,10 +38,11 @@
 }
 
 OutcomeLog::OutcomeLog()
-    : budgets_{LogBudget(kLinesOfAKind), LogBudget(kLinesOfAKind), LogBudget(kLinesOfAKind),
-               LogBudget(kLinesOfAKind), LogBudget(kLinesOfAKind), LogBudget(kLinesOfAKind),
-               LogBudget(kLinesOfAKind), LogBudget(kLinesOfAKind), LogBudget(kLinesOfAKind),
-               LogBudget(kLinesOfAKind), LogBudget(kLinesOfAKind)} {}
+    : budgets_{
+          LogBudget(kOutcomeLogBudget), LogBudget(kOutcomeLogBudget), LogBudget(kOutcomeLogBudget),
+          LogBudget(kOutcomeLogBudget), LogBudget(kOutcomeLogBudget), LogBudget(kOutcomeLogBudget),
+          LogBudget(kOutcomeLogBudget), LogBudget(kOutcomeLogBudget), LogBudget(kOutcomeLogBudget),
+          LogBudget(kOutcomeLogBudget), LogBudget(kOutcomeLogBudget)} {}
 
 std::optional<uint64_t> OutcomeLog::take(RequestOutcome outcome, bool wentWell, Time now) {
   if (wentWell) {
--- a/src/gateway/outcome_log.h
+++ b/src/gateway/outcome_log.h
@@ -1,5 +1,5 @@
 /// @file
-/// How requests end, and how many lines each way of ending may write.
+/// Outcomes of requests, and the log budget of each outcome.
 #pragma once
 
 #include <array>
@@ -11,30 +11,34 @@
 namespace fernmoor::gateway {
 
 enum class RequestOutcome {
-  kDelivered,      ///< The whole answer of a back end.
-  kCallerLeft,     ///< The caller left before the end.
-  kBrokenOff,      ///< The answer had begun, its back end failed, and it may not go on elsewhere.
-  kEngineFailed,   ///< The failure that its back end stated was passed on.
-  kNoWholeAnswer,  ///< It may have run; no whole answer came.
-  kNoBackend,      ///< It has not run: no back end took it in time.
-  kUnverifiedKey,  ///< It has not run: this node cannot prove that the key is still valid.
-  kOverLimit,      ///< It has not run: its tenant asks for more than its limit.
-  kQuarantined,    ///< It has not run: it crashed several engines before.
-  kUnpermitted,    ///< It has not run: all back ends are at their limits, or rest.
-  kOldWeights,     ///< Told beside its end: it began on weights that were due to be replaced.
+  kDelivered,      ///< A complete answer of a back end.
+  kCallerLeft,     ///< The caller disconnected before the end.
+  kBrokenOff,      ///< The answer had begun, its back end failed, and no other one may continue.
+  kEngineFailed,   ///< The error answer of its back end was forwarded.
+  kNoWholeAnswer,  ///< It may have run; no complete answer arrived.
+  kNoBackend,      ///< It has not run: no back end accepted it in time.
+  kUnverifiedKey,  ///< It has not run: this node cannot verify that the key is still valid.
+  kOverLimit,      ///< It has not run: its tenant exceeds its limit.
+  kQuarantined,    ///< It has not run: it crashed several engines and is quarantined.
+  kUnpermitted,    ///< It has not run: all back ends are at their limits or resting.
+  kOldWeights,     ///< Logged in addition to its end: it began on outdated weights.
 };
 inline constexpr size_t kRequestOutcomes = static_cast<size_t>(RequestOutcome::kOldWeights) + 1;
 
-/// @return the phrase of the outcome in the log.
+/// @return the log message for the outcome.
 const char* phraseOf(RequestOutcome outcome);
 
 /// Thread-safe.
 class OutcomeLog {
  public:
   OutcomeLog();
-  /// Asks to write the line of a request.
-  /// @param wentWell such lines are written at debug only, where all are wanted.
-  /// @return nothing where it must be left out; else how many of the kind were left out before.
+  /// Requests budget for the log line of a request.
+  /// @param wentWell the request succeeded in time; such lines are logged at debug level only and
+  /// are
+  ///        not limited.
+  /// @return std::nullopt if the line must be dropped; else the number of lines of this outcome
+  /// that
+  ///         were dropped before it.
   std::optional<uint64_t> take(RequestOutcome outcome, bool wentWell, Time now);
 
  private:
--- a/src/gateway/pool_selector.h
+++ b/src/gateway/pool_selector.h
@@ -1,6 +1,6 @@
 /// @file
-/// Shares a row's requests among its pools by their weights, evenly at every moment (smooth
-/// weighted round robin).
+/// Distributes a row's requests among its pools by weight, evenly over time (smooth weighted round
+/// robin).
 #pragma once
 
 #include <map>
@@ -14,6 +14,7 @@
 /// Thread-safe.
 class PoolSelector {
  public:
+  /// @return the name of the pool for the row's next request.
   std::string select(const Row& row);
 
  private:
--- a/src/gateway/return_times.cpp
+++ b/src/gateway/return_times.cpp
@@ -9,8 +9,8 @@
 namespace {
 
 constexpr Duration kHalfLife{2000000};
-/// Part of its time left for which a caller waits at most: it needs the rest for its answer.
-constexpr int kWaitDivisor = 3;
+/// A caller waits at most its remaining time divided by this; it needs the rest for its answer.
+constexpr int kMaxWaitDivisor = 3;
 
 }  // namespace
 
@@ -32,7 +32,7 @@
   const double refusedForEach = shortage.refused / (shortage.permitted + 1);
   ++shortage.refused;
   const Duration spread = fromSeconds(toSeconds(due) * refusedForEach);
-  const Duration latest = std::max(due, std::min(due + spread, timeLeft / kWaitDivisor));
+  const Duration latest = std::max(due, std::min(due + spread, timeLeft / kMaxWaitDivisor));
   return random_.between(due, latest);
 }
 
--- a/src/gateway/return_times.h
+++ b/src/gateway/return_times.h
@@ -1,8 +1,8 @@
 /// @file
-/// When callers are told to come back whose requests were refused as all back ends are at the
-/// limits that they state. Where far more is refused than permitted, callers that all came back
-/// with the next permit would only be refused once more, and the permit would go to one of them at
-/// random: they are spread over the time in which back ends take as many.
+/// Computes retry times for callers whose requests were rejected because all back ends have reached
+/// the limits they state. If far more requests are rejected than permitted and all callers retried
+/// at the next permit, one of them at random would get it and the others would be rejected again.
+/// Retries are therefore spread over the time in which back ends accept as many requests.
 #pragma once
 
 #include <map>
@@ -19,16 +19,16 @@
  public:
   explicit ReturnTimes(uint64_t randomSeed) : random_(randomSeed) {}
 
-  /// Notes a request that was sent to a back end of the pool which states a limit.
+  /// Counts a request that was sent to a back end of the pool that states a limit.
   void notePermitted(const std::string& pool, Time now);
-  /// Notes a refused request.
-  /// @param due until a back end of the pool takes a request.
-  /// @param timeLeft until the request's deadline.
-  /// @return the time after which its caller is to come back, `due` at least.
+  /// Counts a rejected request.
+  /// @param due time until a back end of the pool accepts a request.
+  /// @param timeLeft time until the request's deadline.
+  /// @return the time after which its caller should retry, at least `due`.
   Duration next(const std::string& pool, Duration due, Duration timeLeft, Time now);
 
  private:
-  /// Of the last seconds, fading.
+  /// Exponentially decaying counts of the last seconds.
   struct Shortage {
     double permitted = 0;
     double refused = 0;
--- a/src/gateway/second_send_budget.cpp
+++ b/src/gateway/second_send_budget.cpp
@@ -2,7 +2,7 @@
 
 namespace fernmoor::gateway {
 
-void SecondSendBudget::forget(std::deque<Time>& times, Time now) const {
+void SecondSendBudget::dropExpired(std::deque<Time>& times, Time now) const {
   while (!times.empty() && now - times.front() > bounds_.window) {
     times.pop_front();
   }
@@ -16,15 +16,15 @@
 void SecondSendBudget::countRequest(const std::string& pool, Time now) {
   const std::lock_guard<std::mutex> lock(mutex_);
   Window& window = windows_[pool];
-  forget(window.requests, now);
+  dropExpired(window.requests, now);
   window.requests.push_back(now);
 }
 
 bool SecondSendBudget::trySecondSend(const std::string& pool, Time now) {
   const std::lock_guard<std::mutex> lock(mutex_);
   Window& window = windows_[pool];
-  forget(window.requests, now);
-  forget(window.secondSends, now);
+  dropExpired(window.requests, now);
+  dropExpired(window.secondSends, now);
   const double allowed =
       bounds_.ratio * static_cast<double>(window.requests.size()) + bounds_.allowance;
   if (static_cast<double>(window.secondSends.size()) + 1 > allowed) {
--- a/src/gateway/second_send_budget.h
+++ b/src/gateway/second_send_budget.h
@@ -1,7 +1,7 @@
 /// @file
-/// Bound on second sends, kept without asking other nodes: in each sliding window a node sends
-/// again at most a share of its own requests for the pool, and a small allowance beside. The sums
-/// of all nodes then keep the bound that the operator sets for the whole deployment.
+/// Retry budget that needs no coordination between nodes: in each sliding window a node retries at
+/// most a fixed share of its own requests for the pool, plus a small allowance. The sum over all
+/// nodes then stays within the bound that the operator sets for the whole deployment.
 #pragma once
 
 #include <deque>
@@ -13,11 +13,11 @@
 
 namespace fernmoor::gateway {
 
-/// The deployment's bound.
+/// Bound for the deployment, with this node's share of the allowance.
 struct SecondSendBounds {
-  double ratio = 0.1;         ///< Second sends per request.
-  Duration window{10000000};  ///< Length of the sliding window.
-  double allowance = 1.0;     ///< This node's part of what is allowed beside the ratio.
+  double ratio = 0.1;         ///< Retries per request.
+  Duration window{10000000};  ///< Length of the sliding window (10 s).
+  double allowance = 1.0;     ///< Retries allowed to this node beyond the ratio.
 };
 
 /// Thread-safe.
@@ -25,11 +25,12 @@
  public:
   explicit SecondSendBudget(SecondSendBounds bounds) : bounds_(bounds) {}
 
-  /// Sets this node's part of the allowance anew, e.g. as the number of nodes changes.
+  /// Updates this node's part of the allowance, e.g. when the number of nodes changes.
   void setAllowance(double allowance);
   /// Counts a request's first send to the pool.
   void countRequest(const std::string& pool, Time now);
-  /// @return whether a second send fits; it is then counted.
+  /// Counts a retry if the budget allows it.
+  /// @return whether it does.
   bool trySecondSend(const std::string& pool, Time now);
 
  private:
@@ -37,7 +38,7 @@
     std::deque<Time> requests;
     std::deque<Time> secondSends;
   };
-  void forget(std::deque<Time>& times, Time now) const;
+  void dropExpired(std::deque<Time>& times, Time now) const;
 
   SecondSendBounds bounds_;
   std::mutex mutex_;
