--- a/src/gateway/backend_protocol.h
+++ b/src/gateway/backend_protocol.h
@@ -35,15 +35,15 @@
 
 /// Contents of the head of an answer.
 struct AnswerFacts {
-  bool isOurs = false;          ///< It answers the request that was sent.
-  bool didNotRun = false;       ///< The back end states that the request did not run.
-  bool isWrongLife = false;     ///< Answered by another incarnation, or with other weights.
-  uint64_t weightsVersion = 0;  ///< 0: not stated.
+  bool isOurs = false;              ///< It answers the request that was sent.
+  bool didNotRun = false;           ///< The back end states that the request did not run.
+  bool isWrongIncarnation = false;  ///< Answered by another incarnation, or with other weights.
+  uint64_t weightsVersion = 0;      ///< 0: not stated.
   LimitMention limitMention = LimitMention::kUntold;
-  double limit = 0;               ///< Requests per second, 0 or more.
-  bool leaves = false;            ///< The back end announces that it is shutting down.
-  Duration rest{0};               ///< Time for which it wants no request from this node; 0: none.
-  bool hasOddWithdrawal = false;  ///< Its shutdown notice or rest cannot be parsed.
+  double limit = 0;     ///< Requests per second, 0 or more.
+  bool leaves = false;  ///< The back end announces that it is shutting down.
+  Duration rest{0};     ///< Time for which it wants no request from this node; 0: none.
+  bool hasUnreadableWithdrawal = false;  ///< Its shutdown notice or rest cannot be parsed.
 };
 
 class BackendProtocol {
--- a/src/gateway/request_run.cpp
+++ b/src/gateway/request_run.cpp
@@ -370,7 +370,7 @@
   if (facts.weightsVersion == 0 || request_.model.empty()) {
     return;
   }
-  if (facts.isWrongLife) {
+  if (facts.isWrongIncarnation) {
     services_.backends.correctWeights(plan_.backend.id, request_.model, facts.weightsVersion);
   } else {
     services_.backends.noteWeights(plan_.backend.id, request_.model, facts.weightsVersion);
--- a/src/gateway/request_run_permits.cpp
+++ b/src/gateway/request_run_permits.cpp
@@ -56,7 +56,7 @@
   if (!told.isEmpty()) {
     services_.loads.noteStatement(told);
   }
-  if (facts.hasOddWithdrawal || facts.limitMention == LimitMention::kUnreadable) {
+  if (facts.hasUnreadableWithdrawal || facts.limitMention == LimitMention::kUnreadable) {
     logUnreadableStatement(facts, now);
   }
 }
@@ -69,7 +69,7 @@
   LogFields fields;
   fields.engine = EngineId(plan_.backend.id);
   fields.leftOut = *leftOut;
-  logWarning(facts.hasOddWithdrawal
+  logWarning(facts.hasUnreadableWithdrawal
                  ? "engine leaves or rests: what was stated can't be read and is ignored"
                  : "engine limit: what was stated is no decimal number and is ignored",
              fields);
--- a/test/platform/engine_protocol_test.cpp
+++ b/test/platform/engine_protocol_test.cpp
@@ -64,7 +64,7 @@
   CHECK(sent.facts(503, {{"X-Request-Id", "r1"}, {"X-Not-Executed", "1"}}).didNotRun);
   CHECK(sent.facts(421, {{"X-Request-Id", "r1"}}).didNotRun);
   CHECK(sent.facts(421, {}).didNotRun);
-  CHECK(sent.facts(421, {}).isWrongLife);
+  CHECK(sent.facts(421, {}).isWrongIncarnation);
   CHECK_FALSE(sent.facts(503, {{"X-Request-Id", "r1"}}).didNotRun);
   CHECK_FALSE(sent.facts(500, {{"X-Request-Id", "r1"}}).didNotRun);
   CHECK_FALSE(sent.facts(503, {{"X-Request-Id", "r0"}, {"X-Not-Executed", "1"}}).didNotRun);
@@ -139,11 +139,11 @@
   CHECK(factsOf("1").leaves);
   CHECK(factsOf("1", 503).leaves);
   CHECK_FALSE(sent.facts(200, {{"X-Request-Id", "r1"}}).leaves);
-  CHECK_FALSE(sent.facts(200, {{"X-Request-Id", "r1"}}).hasOddWithdrawal);
+  CHECK_FALSE(sent.facts(200, {{"X-Request-Id", "r1"}}).hasUnreadableWithdrawal);
   SUBCASE("other texts say nothing") {
     for (const char* text : {"0", "", "true", "01", "1.0", "yes", "-1", "1, 1"}) {
       CHECK_MESSAGE(!factsOf(text).leaves, text);
-      CHECK_MESSAGE(factsOf(text).hasOddWithdrawal, text);
+      CHECK_MESSAGE(factsOf(text).hasUnreadableWithdrawal, text);
     }
   }
   SUBCASE("another incarnation, or an answer to another request, tells nothing") {
@@ -174,7 +174,7 @@
     for (const char* text : {"abc", "-1", "nan", "inf", "1e400", "1,4", "", " ", "+1", "0x1", ".5",
                              "5.", "Wed, 21 Oct 2026 07:28:00 GMT"}) {
       CHECK_MESSAGE((factsOf(text).rest == Duration(0)), text);
-      CHECK_MESSAGE(factsOf(text).hasOddWithdrawal, text);
+      CHECK_MESSAGE(factsOf(text).hasUnreadableWithdrawal, text);
     }
   }
   SUBCASE("twice") {
