--- a/test/gateway/backend_choice_test.cpp
+++ b/test/gateway/backend_choice_test.cpp
@@ -37,7 +37,7 @@
   IncomingRequest request;
 };
 
-/// Nobody counts for all nodes, so that the choice goes by what this node knows.
+/// No load for all nodes is known, so that the choice uses this node's load only.
 class SilentLoads : public EngineLoads {
  public:
   std::optional<LoadAnswer> reserve(uint64_t, const EngineDemand&, const EngineRoom&,
@@ -48,7 +48,7 @@
   void release(const LoadTicket&) override {}
 };
 
-/// Counts for all nodes; the test sets what waits at each engine.
+/// Reports the load of all nodes; the test sets the queue of each engine.
 class CountingLoads : public EngineLoads {
  public:
   std::optional<LoadAnswer> reserve(uint64_t engine, const EngineDemand& demand, const EngineRoom&,
@@ -67,7 +67,7 @@
   void release(const LoadTicket&) override {}
 
   std::map<uint64_t, uint64_t> pending;
-  std::set<uint64_t> stalled;  ///< Engines where nothing moves.
+  std::set<uint64_t> stalled;  ///< Engines that make no progress.
   uint32_t questions = 0;
 };
 
@@ -103,7 +103,7 @@
   CHECK(homes.size() == 12);
 }
 
-TEST_CASE("a home with more than its share passes requests on, always to the same next one") {
+TEST_CASE("requests beyond the share of their home always go to the same next home") {
   const Prompt prompt("subject");
   auto candidates = engines(6);
   const std::string home = chosen(prompt.request, candidates);
@@ -115,7 +115,7 @@
   CHECK(second == chosen(prompt.request, candidates));
 }
 
-TEST_CASE("a home that still reads long prompts of this node passes requests on") {
+TEST_CASE("a home that still reads long prompts of this node is passed over") {
   const Prompt prompt("subject");
   auto candidates = engines(6);
   const std::string home = chosen(prompt.request, candidates);
@@ -129,8 +129,8 @@
   CHECK(chosen(prompt.request, candidates) == home);
 }
 
-TEST_CASE("a request goes where the fewest tokens stand before its own prompt") {
-  Prompt prompt("subject");  // Shares 6300 tokens, of 9200.
+TEST_CASE("a request goes to the engine with the fewest tokens ahead of its own prompt") {
+  Prompt prompt("subject");  // 6300 of its 9200 tokens are shared.
   prompt.request.promptTokens = 9200;
   const auto candidates = engines(6);
   const std::string homeId = chosen(prompt.request, candidates);
@@ -140,39 +140,39 @@
     return *chooseHome(prompt.request, candidates, ChoiceContext{"near", {}, {}, {}}, loads);
   };
 
-  SUBCASE("to its home while that reads no longer than the request itself takes") {
+  SUBCASE("to its home while the wait there is no longer than reading its own prompt") {
     loads.pending[home] = 9000;
     CHECK(choose().backend.listing->id == homeId);
     CHECK(loads.questions == 1);
   }
-  SUBCASE("elsewhere when bringing the shared parts there is less than the wait at home") {
+  SUBCASE("to another engine if transferring the shared parts takes less than the wait at home") {
     loads.pending[home] = 20000;
     const BackendChoice choice = choose();
     CHECK(choice.backend.listing->id != homeId);
     CHECK(choice.ticket.has_value());
   }
-  SUBCASE("past engines where nothing moves, however many there are in a row") {
+  SUBCASE("past stalled engines, however many there are in a row") {
     loads.stalled.insert(home);
     const std::string second = choose().backend.listing->id;
     CHECK(second != homeId);
     loads.stalled.insert(stableHash(second));
     CHECK(loads.stalled.count(choose().ticket->engine) == 0);
   }
-  SUBCASE("and tells when its first event is expected there") {
+  SUBCASE("and the expected time to its first event there is returned") {
     loads.pending[home] = 0;
     CHECK((choose().expected->firstEvent == std::chrono::milliseconds(230)));
   }
-  SUBCASE("where all have more to read than that") {
+  SUBCASE("if the wait is longer at all engines") {
     for (const BackendView& each : candidates) {
       loads.pending[stableHash(each.listing->id)] = 30000;
     }
-    SUBCASE("to its home, where it is counted all the same") {
+    SUBCASE("to its home, where it is still counted") {
       const BackendChoice choice = choose();
       CHECK(choice.backend.listing->id == homeId);
       CHECK(choice.ticket.has_value());
       CHECK(loads.pending[home] == 30000 + 9200);
     }
-    SUBCASE("to another home once that has enough less, counted there") {
+    SUBCASE("to another home once its queue is enough shorter, and counted there") {
       loads.pending[home] = 40000;
       const BackendChoice choice = choose();
       CHECK(choice.backend.listing->id != homeId);
@@ -182,7 +182,7 @@
   }
 }
 
-TEST_CASE("tenants that share nothing have homes of their own and scopes of their own") {
+TEST_CASE("isolated tenants have their own homes and cache scopes") {
   Prompt shared("subject");
   Prompt isolated("subject");
   isolated.request.tenant = Tenant{"sese", true, 0};
@@ -193,7 +193,7 @@
   CHECK(cacheScopeOf(shared.request, 3) == cacheScopeOf(other.request, 3));
 }
 
-TEST_CASE("engines that are left alone are used only where there is no other") {
+TEST_CASE("avoided engines are used only if there is no other") {
   const Prompt prompt("subject");
   auto candidates = engines(2);
   candidates[0].isAvoided = true;
@@ -202,7 +202,7 @@
   CHECK(chosen(prompt.request, candidates, {"e0", "e1"}) == "none");
 }
 
-TEST_CASE("requests without shared parts go to the least loaded, the own zone first") {
+TEST_CASE("requests without shared parts go to the least loaded engine, own zone preferred") {
   Row row;
   IncomingRequest request;
   request.row = &row;
@@ -231,19 +231,19 @@
 
 }  // namespace
 
-TEST_CASE("engines with weights too old to begin on are left out") {
+TEST_CASE("engines with outdated weights are excluded") {
   CHECK(leftOf({1, 2, 3}, 2) == 2);
   CHECK(leftOf({1, 2, 3}, 0) == 3);
   CHECK(leftOf({}, 2) == 0);
 }
 
-TEST_CASE("where all or nearly all are too old, these are left out all the same") {
+TEST_CASE("engines with outdated weights are excluded even if all or nearly all have them") {
   CHECK(leftOf({1, 2, 2, 2, 2, 1}, 3) == 0);
   CHECK(leftOf({1, 1, 1, 1, 1, 2}, 2) == 1);
   CHECK(leftOf({1, 1, 1}, 2) == 0);
 }
 
-TEST_CASE("an engine whose weights nobody knows is not taken for new enough") {
+TEST_CASE("an engine with unknown weights is not assumed to be up to date") {
   CHECK(leftOf({0, 2, 3}, 2) == 2);
   CHECK(leftOf({0, 0}, 0) == 2);
 }
--- a/test/gateway/begin_deadline_test.cpp
+++ b/test/gateway/begin_deadline_test.cpp
@@ -1,6 +1,6 @@
 /// @file
-/// Tests of src/gateway/begin_deadline.h, and over loopback of what the forwarder does by it: what
-/// waits at its back end does not begin there past the bound of newer weights.
+/// Tests of src/gateway/begin_deadline.h and, over loopback, of its use by the forwarder: a request
+/// queued at its back end does not begin there after the bound of newer weights.
 #include "gateway/begin_deadline.h"
 
 #include <doctest/doctest.h>
@@ -19,7 +19,7 @@
   return Time(std::chrono::seconds(1000)) + std::chrono::milliseconds(milliseconds);
 }
 
-/// Two versions are named at 0 and 3 s; the first was at all times.
+/// Two versions, named at 0 s and 3 s; the first has always been available.
 struct TwoNamed {
   TwoNamed() {
     wanted.note("m", 2, at(0), at(0));
@@ -30,7 +30,7 @@
 
 }  // namespace
 
-TEST_CASE("what has not begun is taken back in time before the first bound of newer weights") {
+TEST_CASE("a request that has not begun is withdrawn before the first bound of newer weights") {
   TwoNamed world;
   BeginDeadline deadline(world.wanted, "r1");
   CHECK_FALSE(deadline.withdrawAt().has_value());
@@ -40,14 +40,14 @@
   CHECK(*deadline.withdrawAt() > at(7000));
   CHECK_FALSE(deadline.isOver(at(7000)));
   CHECK(deadline.isOver(at(8000)));
-  SUBCASE("the bound of the weights that it waits for counts") {
+  SUBCASE("the bound for the weights it was sent to applies") {
     deadline.start("m", 2, true);
     CHECK_FALSE(deadline.isOver(at(10000)));
     CHECK(deadline.isOver(at(11000)));
     deadline.start("m", 3, true);
     CHECK_FALSE(deadline.withdrawAt().has_value());
   }
-  SUBCASE("an outage of the store puts it off, a version that is named brings it on") {
+  SUBCASE("an outage of the store postpones the bound, a newly named version creates it") {
     world.wanted.noteStoreAway(at(6000));
     CHECK_FALSE(deadline.isOver(at(13000)));
     CHECK(deadline.isOver(at(14000)));
@@ -55,19 +55,19 @@
     world.wanted.note("m", 4, at(6100), at(6100));
     CHECK(deadline.isOver(at(14100)));
   }
-  SUBCASE("what has begun may go on") {
+  SUBCASE("a request that has begun is not withdrawn") {
     deadline.noteBegun();
     CHECK_FALSE(deadline.isOver(at(20000)));
-    deadline.start("m", 1, true);  // At another back end it has to begin again.
+    deadline.start("m", 1, true);  // At another back end it has to begin anew.
     CHECK(deadline.isOver(at(20000)));
   }
-  SUBCASE("where an answer does not tell its beginning it is left where it is") {
+  SUBCASE("a request whose answer does not show its begin is not withdrawn") {
     deadline.start("m", 1, false);
     CHECK_FALSE(deadline.isOver(at(20000)));
   }
 }
 
-TEST_CASE("those that wait together are not all taken back at one instant") {
+TEST_CASE("requests that wait together are not all withdrawn at the same instant") {
   TwoNamed world;
   Time first = at(99000);
   Time last = at(0);
@@ -82,8 +82,8 @@
 
 namespace {
 
-/// Streams for a model, of whose version 2 some two seconds are left until its bound ends. The
-/// engine with version 1 is silent until the test releases them.
+/// Streams for a model whose version 2 becomes mandatory in about two seconds. The engine with
+/// version 1 is silent until the test releases the streams.
 struct WaitingWorld : ForwarderWorld {
   WaitingWorld() {
     row.isStream = true;
@@ -96,7 +96,7 @@
 
   ScriptedBackend& addSilentEngine() {
     ScriptedBackend& backend = add("a", [this](Poco::Net::StreamSocket&, const std::string&) {
-      clock.leap = std::chrono::seconds(2);  // The bound is near at once.
+      clock.leap = std::chrono::seconds(2);  // The bound is close from the start.
       while (!isReleased) {
         std::this_thread::sleep_for(std::chrono::milliseconds(5));
       }
@@ -116,7 +116,7 @@
 
 }  // namespace
 
-TEST_CASE("a stream that may run once is answered when it can't begin in time, without a promise") {
+TEST_CASE("a non-repeatable stream that can't begin in time ends with an unknown outcome") {
   WaitingWorld world;
   ScriptedBackend& older = world.addSilentEngine();
   world.serveStream();
@@ -126,25 +126,25 @@
   CHECK(world.caller.refusals[0].kind == ErrorKind::kOutcomeUnknown);  // Before its deadline.
 }
 
-TEST_CASE("a stream that may be resumed goes on to an engine with newer weights") {
+TEST_CASE("a resumable stream is retried at an engine with newer weights") {
   WaitingWorld world;
   world.row.isResumable = true;
   ScriptedBackend& older = world.addSilentEngine();
   ScriptedBackend& newer = world.add("b", always(streamHead() + chunk(event(1)) + "0\r\n\r\n"));
   world.backends.noteWeights("b", "m", 2);
   for (int other = 0; other < 9; ++other) {
-    world.backends.started("b", 0);  // So that the older one is chosen first.
+    world.backends.started("b", 0);  // Makes the engine with the older weights the first choice.
   }
   world.serveStream();
   CHECK(older.requests() == 1);
   CHECK(newer.requests() == 1);
   CHECK(world.caller.body == event(1));
   CHECK(world.caller.finished);
-  // And not for the silence alone.
+  // The withdrawal was not caused by the silence limit.
   CHECK(holdsText(world.metrics.serialize(), "fernmoor_taken_back_total 1\n"));
 }
 
-TEST_CASE("a stream that began in time goes on past the bound") {
+TEST_CASE("a stream that began in time continues after the bound") {
   WaitingWorld world;
   ScriptedBackend& older = world.add("a", [&](Poco::Net::StreamSocket& socket, const std::string&) {
     say(socket, streamHead() + chunk(event(1)));
@@ -165,10 +165,10 @@
   CHECK(world.caller.finished);
 }
 
-TEST_CASE("nothing is sent to an engine that may begin only when the bound is near") {
+TEST_CASE("no request is sent to an engine that may begin only close to the bound") {
   WaitingWorld world;
   ScriptedBackend& older = world.addSilentEngine();
-  world.clock.leap = std::chrono::milliseconds(600);  // 1.6 s are left, and nothing is known.
+  world.clock.leap = std::chrono::milliseconds(600);  // 1.6 s are left; the load is unknown.
   world.serveStream();
   CHECK(older.requests() == 0);
   CHECK(promisesNotRun(world.caller));
--- a/test/gateway/connection_pool_test.cpp
+++ b/test/gateway/connection_pool_test.cpp
@@ -1,6 +1,6 @@
 /// @file
-/// Tests of src/gateway/connection_pool.h: what is kept of connections, and for how long. Times are
-/// given, so nothing waits for them.
+/// Tests of src/gateway/connection_pool.h: which connections are kept and for how long. Times are
+/// passed in, so the tests do not wait.
 #include "gateway/connection_pool.h"
 
 #include <doctest/doctest.h>
@@ -19,7 +19,7 @@
   return Time(std::chrono::milliseconds(milliseconds));
 }
 
-/// Back ends' ends of connections whose near ends a pool is given.
+/// The back ends' sides of connections that are handed to a pool.
 class FarEnds {
  public:
   std::unique_ptr<ByteConnection> open() {
@@ -50,7 +50,7 @@
   CHECK(pool.idleCount() == 2);
 }
 
-TEST_CASE("all back ends together have a bound, beyond which the one that ends first is closed") {
+TEST_CASE("beyond the limit for all back ends, the connection that expires first is closed") {
   FarEnds ends;
   ConnectionPool pool{ConnectOptions{}, 10};
   for (uint64_t backend = 1; backend <= 8; ++backend) {
--- a/test/gateway/cut_off_runs_test.cpp
+++ b/test/gateway/cut_off_runs_test.cpp
@@ -17,7 +17,7 @@
 constexpr int64_t kStart = 1000;
 constexpr Duration kTick{100000};
 
-/// A back end at which one run was cut off a moment ago.
+/// A back end at which one run was just cut off.
 struct CutOffWorld {
   CutOffWorld() : port([](Poco::Net::StreamSocket&, const std::string&) { return false; }) {
     listing.id = "a";
@@ -42,7 +42,7 @@
   ScriptedBackend port;
   BackendSet backends;
   BackendListing listing;
-  std::optional<int64_t> reported;  ///< Nothing: it doesn't answer.
+  std::optional<int64_t> reported;  ///< Not set: it doesn't answer.
   TestQuarantine quarantine;
   CutOffRuns runs{clock, backends, [this](const std::string&) { return reported; }, quarantine};
 };
@@ -51,7 +51,7 @@
 
 }  // namespace
 
-TEST_CASE("a run that was cut off is held against its request when its back end shows as ended") {
+TEST_CASE("a cut-off run counts as a crash once its back end proves to have ended") {
   CutOffWorld world;
   world.pass(Duration(300000));
   CHECK(world.quarantine.crashes.empty());
@@ -59,7 +59,7 @@
   SUBCASE("its port refuses connections") {
     world.port.stopListening();
   }
-  SUBCASE("it left the list") {
+  SUBCASE("it was removed from the list") {
     world.backends.remove("a");
   }
   SUBCASE("the list names a later start") {
@@ -75,20 +75,20 @@
   CHECK(world.runs.size() == 0);
 }
 
-TEST_CASE("a run that its back end outlived is held against nobody") {
+TEST_CASE("a run that its back end survived is not counted as a crash") {
   CutOffWorld world;
   const uint64_t incarnation = incarnationHash(world.listing);
   SUBCASE("it reports the same start half a second later") {
     world.reported = kStart;
     world.pass(Duration(400000));
-    CHECK(world.runs.size() == 1);  // A process that ends may talk for a moment.
+    CHECK(world.runs.size() == 1);  // A process that is ending may still answer.
     world.pass(Duration(600000));
   }
-  SUBCASE("it answered something that was sent later") {
+  SUBCASE("it sent an answer later") {
     world.pass(kTick);
     world.runs.noteAlive(incarnation, world.clock.now());
   }
-  SUBCASE("it is about to leave") {
+  SUBCASE("it is draining") {
     world.listing.isDraining = true;
     world.backends.update(world.listing, world.clock.now());
     world.pass(kTick);
@@ -99,14 +99,14 @@
   CHECK(world.quarantine.crashes.empty());
 }
 
-TEST_CASE("what a back end sent before a run was cut off tells nothing of its end") {
+TEST_CASE("data sent before a run was cut off does not prove that the back end is alive") {
   CutOffWorld world;
   world.runs.noteAlive(incarnationHash(world.listing), world.clock.now() - kTick);
   world.runs.noteAlive(incarnationHash(world.listing) + 1, world.clock.now() + kTick);
   CHECK(world.runs.size() == 1);
 }
 
-TEST_CASE("a silent back end without evidence for five seconds is held against nobody") {
+TEST_CASE("a run without evidence for five seconds is not counted as a crash") {
   CutOffWorld world;
   world.pass(Duration(4900000));
   CHECK(world.runs.size() == 1);
@@ -117,7 +117,7 @@
   CHECK(world.quarantine.crashes.empty());
 }
 
-TEST_CASE("at most 512 runs are kept, the newest") {
+TEST_CASE("only the newest 512 runs are kept") {
   CutOffWorld world;
   for (uint64_t number = 0; number < 600; ++number) {
     world.cut(1000 + number);
@@ -129,7 +129,7 @@
   CHECK(world.quarantine.crashes.back() == 1599);
 }
 
-TEST_CASE("a run at a back end that is about to leave is not kept") {
+TEST_CASE("a run at a draining back end is not kept") {
   CutOffWorld world;
   world.pass(Duration(5200000));
   world.listing.isDraining = true;
--- a/test/gateway/engine_attempt_test.cpp
+++ b/test/gateway/engine_attempt_test.cpp
@@ -1,6 +1,6 @@
 /// @file
-/// Tests of src/gateway/engine_attempt.h: what was true when a send was planned is looked at again
-/// when it is made.
+/// Tests of src/gateway/engine_attempt.h: time limits are evaluated at the send, not when it was
+/// planned.
 #include "gateway/engine_attempt.h"
 
 #include <doctest/doctest.h>
@@ -13,7 +13,7 @@
 
 namespace {
 
-/// A planned send of a request with twenty seconds.
+/// A planned send of a request with a deadline 20 s ahead.
 struct PlannedWorld : ForwarderWorld {
   PlannedWorld() : backend(add("a", always(answer("200 OK", "x")))), made(request()) {
     plan.backend = backends.all().front();
@@ -33,9 +33,9 @@
 
 }  // namespace
 
-TEST_CASE("a back end is told the time that is left when the request is sent") {
+TEST_CASE("the request states the time left at the moment of the send") {
   PlannedWorld world;
-  world.clock.leap = std::chrono::seconds(15);  // A connection took long to come up.
+  world.clock.leap = std::chrono::seconds(15);  // Opening the connection took long.
   REQUIRE(world.send() == AttemptStep::kDone);
   const std::string sent = world.backend.lastRequest();
   const std::string name = "Time-Left: ";
@@ -44,7 +44,7 @@
   CHECK(left > 0);
 }
 
-TEST_CASE("nothing is sent when the time is over before there is a connection") {
+TEST_CASE("nothing is sent if the deadline passes before the connection is open") {
   PlannedWorld world;
   world.clock.leap = std::chrono::seconds(21);
   CHECK(world.send() == AttemptStep::kTooLate);
--- a/test/gateway/event_splitter_test.cpp
+++ b/test/gateway/event_splitter_test.cpp
@@ -20,7 +20,7 @@
 
 }  // namespace
 
-TEST_CASE("events come out whole and unchanged however the bytes are cut") {
+TEST_CASE("events are complete and unchanged however the input is split") {
   const std::string stream =
       "x-weight-versions: 3\nid: 4\ndata: a\n\nid:5\r\ndata: b\r\n\r\ndata: c\n\n";
   for (size_t step = 1; step <= stream.size(); ++step) {
@@ -41,7 +41,7 @@
   }
 }
 
-TEST_CASE("an event that is not whole is held back") {
+TEST_CASE("an incomplete event is not returned") {
   EventSplitter splitter;
   splitter.add("id: 1\ndata: a\n\nid: 2\ndata: b\n");
   CHECK(drain(splitter).size() == 1);
--- a/test/gateway/request_trail_test.cpp
+++ b/test/gateway/request_trail_test.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// Tests of src/gateway/request_trail.h: one line tells what a request met.
+/// Tests of src/gateway/request_trail.h and src/gateway/outcome_log.h.
 #include "gateway/request_trail.h"
 
 #include <doctest/doctest.h>
@@ -25,7 +25,7 @@
 
 }  // namespace
 
-TEST_CASE("a trail tells each back end, its load, and how the attempt ended") {
+TEST_CASE("a trail names each back end, its load, and how the attempt ended") {
   RequestTrail trail;
   CHECK(trail.isEmpty());
   trail.begin(sendTo("e-1", 12));
@@ -36,7 +36,7 @@
         "e-2 (3 running, 5200 tokens waiting) at 144 ms was under way");
 }
 
-TEST_CASE("a trail tells the weights that a back end was to hold and might have held") {
+TEST_CASE("a trail names the expected and the lowest acceptable weights") {
   RequestTrail trail;
   TrailEntry entry = sendTo("e-1", 12);
   entry.weights = 3;
@@ -46,7 +46,7 @@
         "e-1 (weights 3, lowest 4, 3 running, 5200 tokens waiting) at 12 ms was under way");
 }
 
-TEST_CASE("a trail tells what was known at the send of the first event and of the bound") {
+TEST_CASE("a trail contains the expected first event and the bound known at the send") {
   RequestTrail trail;
   TrailEntry entry = sendTo("e-1", 12);
   entry.weights = 3;
@@ -58,7 +58,7 @@
         "event expected in 210 ms) at 12 ms was under way");
 }
 
-TEST_CASE("the first end of an attempt counts") {
+TEST_CASE("only the first end of an attempt is recorded") {
   RequestTrail trail;
   trail.end(AttemptEnd::kServed, Duration(0));
   trail.begin(sendTo("e-1", 0));
@@ -68,7 +68,7 @@
   CHECK(trail.text().find("turned it away with 503 after 2 ms") != std::string::npos);
 }
 
-TEST_CASE("a flood of one outcome leaves room for the others") {
+TEST_CASE("many lines of one outcome do not use up the budget of others") {
   OutcomeLog log;
   int refusals = 0;
   for (int request = 0; request < 500; ++request) {
@@ -81,7 +81,7 @@
   CHECK(next == static_cast<uint64_t>(500 - refusals));
 }
 
-TEST_CASE("each outcome has a phrase of its own") {
+TEST_CASE("each outcome has its own phrase") {
   std::set<std::string> phrases;
   for (size_t outcome = 0; outcome < kRequestOutcomes; ++outcome) {
     phrases.insert(phraseOf(static_cast<RequestOutcome>(outcome)));
--- a/test/gateway/return_times_test.cpp
+++ b/test/gateway/return_times_test.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// Tests of src/gateway/return_times.h: seeded, at given instants.
+/// Tests of src/gateway/return_times.h, with a fixed seed and given times.
 #include "gateway/return_times.h"
 
 #include <doctest/doctest.h>
@@ -17,7 +17,7 @@
 
 }  // namespace
 
-TEST_CASE("a caller that is refused now and then comes back with the next permit") {
+TEST_CASE("a caller that is rejected occasionally retries at the next permit") {
   ReturnTimes times(1);
   for (int step = 0; step < 20; ++step) {
     times.notePermitted("pool", kStart + step * kDue);
@@ -26,7 +26,7 @@
   CHECK((times.next("pool", kDue, kTimeLeft, kStart + 20 * kDue) <= kDue + kDue / 5));
 }
 
-TEST_CASE("callers that are refused all the time come back spread out, while they have time left") {
+TEST_CASE("retries of callers that are rejected constantly are spread, within their deadlines") {
   ReturnTimes times(1);
   constexpr int kCallers = 400;
   std::vector<Duration> told;
@@ -42,7 +42,7 @@
   CHECK((*std::max_element(told.begin(), told.end()) <= kTimeLeft / 3));
 }
 
-TEST_CASE("nobody is told to come back before a back end takes a request") {
+TEST_CASE("no retry time is earlier than the next permit") {
   ReturnTimes times(1);
   for (int step = 0; step < 100; ++step) {
     times.next("pool", kDue, kTimeLeft, kStart);
--- a/test/gateway/send_decisions_test.cpp
+++ b/test/gateway/send_decisions_test.cpp
@@ -32,7 +32,7 @@
   CHECK(canBeInTime(sent.request, ExpectedTimes{milliseconds(400), milliseconds(3000)}, kStart));
   CHECK_FALSE(
       canBeInTime(sent.request, ExpectedTimes{milliseconds(401), milliseconds(500)}, kStart));
-  const Time later = kStart + milliseconds(200);  // The time that is over counts too.
+  const Time later = kStart + milliseconds(200);  // The time elapsed since arrival counts, too.
   CHECK_FALSE(
       canBeInTime(sent.request, ExpectedTimes{milliseconds(300), milliseconds(500)}, later));
 }
@@ -43,7 +43,7 @@
   CHECK((silenceLimit(sent.request, milliseconds(500), most) == milliseconds(1500)));
   CHECK((silenceLimit(sent.request, milliseconds(2000), most) == milliseconds(6000)));
   CHECK((silenceLimit(sent.request, milliseconds(50), most) == milliseconds(600)));
-  SUBCASE("where nothing is expected: half of the request's time at most") {
+  SUBCASE("without an estimate: at most half of the request's time") {
     CHECK((silenceLimit(sent.request, std::nullopt, most) == most));
     Case shorter;
     shorter.request.deadline = kStart + milliseconds(800);
@@ -61,17 +61,17 @@
     CHECK((waitOf(1, kStart) == milliseconds(150)));
     CHECK((waitOf(9, kStart) < milliseconds(1)));
   }
-  SUBCASE("no longer than it can be in time") {
+  SUBCASE("no longer than it can still meet its target") {
     CHECK((waitOf(0, kStart + milliseconds(250)) == milliseconds(150)));
     CHECK((waitOf(0, kStart + milliseconds(900)) == Duration(0)));
   }
-  SUBCASE("one that a back end has had, to its deadline") {
+  SUBCASE("until its deadline if it was sent before") {
     CHECK((waitOf(0, kStart + milliseconds(900), false) == milliseconds(300)));
     CHECK((waitOf(0, kStart + milliseconds(4900), false) == milliseconds(100)));
   }
 }
 
-TEST_CASE("what the caller of a request is told where all engines are at their limits") {
+TEST_CASE("the error if all engines are at their limits") {
   const Error error = unpermittedError(milliseconds(430));
   CHECK((error.kind == ErrorKind::kOverloaded));
   CHECK((error.runState == RunState::kNotRun));
@@ -79,7 +79,7 @@
   CHECK((unpermittedError(Duration(0)).retryAfter == milliseconds(50)));
 }
 
-TEST_CASE("what the caller of a request is told that was given up") {
+TEST_CASE("the error if no further back end may be tried") {
   const Error notRun = givenUpError(GivenUp{false, false, std::nullopt});
   CHECK((notRun.kind == ErrorKind::kOverloaded));
   CHECK((notRun.runState == RunState::kNotRun));
