--- a/test/gateway/forwarder_cache_test.cpp
+++ b/test/gateway/forwarder_cache_test.cpp
@@ -1,6 +1,6 @@
 /// @file
-/// Tests of src/gateway/forwarder.h over loopback: which engine a prompt with shared parts goes to,
-/// where its parts come from, and when it is refused instead.
+/// Tests of src/gateway/forwarder.h over loopback: the engine chosen for a prompt with shared
+/// parts, the source of its parts, and its rejection if it cannot be in time.
 #include <doctest/doctest.h>
 
 #include <atomic>
@@ -15,7 +15,7 @@
 
 namespace {
 
-/// A world whose requests share parts of prompts, before one engine and a cache store.
+/// A test world with one engine and a cache store, whose requests share prompt parts.
 struct CacheWorld : ForwarderWorld {
   CacheWorld() {
     row.usesPrefixes = true;
@@ -110,7 +110,7 @@
   world.addEngine("b", 3);
   world.forwarder.serve(world.prompt(), world.caller);
   const bool isFirstHome = world.scripted[0]->requests() == 1;
-  CHECK(world.loads.work.size() == 0);  // It left its engine.
+  CHECK(world.loads.work.size() == 0);  // It is no longer counted at its engine.
   const PendingRequest ofOther{2, 1, EngineDemand{50000, 50000, std::chrono::seconds(3)}};
   world.loads.work.reserve(stableHash(isFirstHome ? "a" : "b"), ofOther, EngineRoom{}, 100000,
                            world.clock.now());
@@ -131,7 +131,7 @@
     CHECK(engine.requests() == 0);
     REQUIRE(world.caller.refusals.size() == 1);
     CHECK(promisesNotRun(world.caller));
-    CHECK(world.hints.questions == 0);  // Nobody was asked for its parts.
+    CHECK(world.hints.questions == 0);  // No node was queried for its parts.
     CHECK(*world.caller.refusals[0].retryAfter > std::chrono::seconds(1));
     CHECK(*world.caller.refusals[0].retryAfter < std::chrono::milliseconds(1500));
     world.loads.work.release(stableHash("a"), 2, 1, world.clock.now());
@@ -192,7 +192,7 @@
   world.row.target = std::chrono::seconds(10);
   std::atomic<int> slowAnswers{0};
   const auto slowly = [&](Poco::Net::StreamSocket& socket, const std::string&) {
-    std::this_thread::sleep_for(kSilence * 4);  // Longer than silence is borne without an estimate.
+    std::this_thread::sleep_for(kSilence * 4);  // Over the limit for unestimated ones.
     ++slowAnswers;
     say(socket, streamHead() + chunk(event(1)) + "0\r\n\r\n");
     return true;
--- a/test/gateway/forwarder_limit_test.cpp
+++ b/test/gateway/forwarder_limit_test.cpp
@@ -1,6 +1,6 @@
 /// @file
-/// Tests of src/gateway/forwarder.h over loopback where tenants have limits, or back ends state how
-/// many requests they take.
+/// Tests of src/gateway/forwarder.h over loopback with limits of tenants and limits stated by back
+/// ends.
 #include <doctest/doctest.h>
 
 #include <algorithm>
--- a/test/gateway/forwarder_quarantine_test.cpp
+++ b/test/gateway/forwarder_quarantine_test.cpp
@@ -1,6 +1,6 @@
 /// @file
-/// Tests of src/gateway/forwarder.h with requests that crash back ends, and on a machine that was
-/// suspended.
+/// Tests of src/gateway/forwarder.h with requests that crash back ends, and after a suspend of the
+/// machine.
 #include <doctest/doctest.h>
 
 #include "gateway/request_fingerprint.h"
@@ -17,7 +17,7 @@
   socket.close();
 }
 
-/// Adds a back end that ends when it begins to run a request.
+/// Adds a back end that crashes when it starts a request.
 void addCrashing(ForwarderWorld& world, const std::string& id) {
   const size_t place = world.scripted.size();
   world.add(id, [&world, place](Poco::Net::StreamSocket& socket, const std::string&) {
@@ -108,7 +108,7 @@
         });
     world.serve();
     CHECK(world.quarantine.crashes.empty());
-    CHECK(world.cutOffRuns.size() == 1);  // It may show later that the back end ended.
+    CHECK(world.cutOffRuns.size() == 1);  // Later evidence may show that the back end ended.
     world.serve();
     CHECK(backend.connectionCount() == 2);
     CHECK(world.cutOffRuns.size() == 0);  // It answered.
@@ -148,10 +148,10 @@
 TEST_CASE("a run whose caller left a silent back end is held against the request likewise") {
   ForwarderWorld world;
   world.add("a", [&](Poco::Net::StreamSocket& socket, const std::string&) {
-    world.clock.leap = Duration(std::chrono::seconds(1));  // Without a word.
+    world.clock.leap = Duration(std::chrono::seconds(1));  // The back end sends nothing meanwhile.
     world.caller.socket.far.close();
     char byte = 0;
-    socket.receiveBytes(&byte, 1);  // Until the connection is closed.
+    socket.receiveBytes(&byte, 1);  // Returns when the connection is closed.
     return false;
   });
   world.serve();
@@ -197,7 +197,7 @@
   CHECK(requestsOf(world) == 1);
   REQUIRE(world.caller.refusals.size() == 1);
   CHECK(world.caller.refusals[0].runState == RunState::kUnknown);
-  CHECK(world.quarantine.waits == 2);  // Before each of the two.
+  CHECK(world.quarantine.waits == 2);  // Once before each of the two.
 }
 
 TEST_CASE("a request ends at its deadline though the machine was suspended while it waited") {
--- a/test/gateway/forwarder_test.cpp
+++ b/test/gateway/forwarder_test.cpp
@@ -1,6 +1,6 @@
 /// @file
-/// Tests of src/gateway/forwarder.h over loopback: what reaches back ends and callers when back
-/// ends refuse, fail, break off, answer for somebody else or fall silent.
+/// Tests of src/gateway/forwarder.h over loopback: the data that reaches back ends and callers when
+/// back ends reject a request, fail, break off, answer another request or fall silent.
 #include "gateway/forwarder.h"
 
 #include <doctest/doctest.h>
@@ -28,7 +28,7 @@
   };
 }
 
-/// Says nothing for a while, three times as long as a request that may run again waits.
+/// Stays silent for three times the silence limit of a repeatable request.
 Script answersAfterSilence(int times) {
   return [=](Poco::Net::StreamSocket& socket, const std::string&) {
     std::this_thread::sleep_for(kSilence * 3 * times);
@@ -45,7 +45,7 @@
   return sum;
 }
 
-/// An answer of ours that does not promise that the request has not run.
+/// Checks for an error answer of the gateway that does not state that the request has not run.
 bool promisesNothing(const RecordingCaller& caller) {
   return caller.refusals.size() == 1 && caller.refusals[0].runState == RunState::kUnknown &&
          caller.refusals[0].kind == ErrorKind::kOutcomeUnknown;
--- a/test/gateway/limited_choice_test.cpp
+++ b/test/gateway/limited_choice_test.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// Tests of src/gateway/backend_choice.h where engines state limits.
+/// Tests of src/gateway/backend_choice.h with engines that state limits.
 #include <doctest/doctest.h>
 
 #include <map>
@@ -25,7 +25,7 @@
   return made;
 }
 
-/// Gives the permits that the test has put there, and remembers waits as a node does.
+/// Grants the permits set by the test, and remembers reported waits as a node does.
 class LimitedLoads : public EngineLoads {
  public:
   std::optional<LoadAnswer> reserve(uint64_t engine, const EngineDemand& demand, const EngineRoom&,
@@ -61,8 +61,8 @@
     known[engine.incarnation] = Duration(0);
   }
 
-  std::map<uint64_t, Duration> waits;  ///< Until the next permit, of engines with limits.
-  std::map<uint64_t, Duration> known;  ///< What this node knows of it.
+  std::map<uint64_t, Duration> waits;  ///< Time until the next permit of each engine with a limit.
+  std::map<uint64_t, Duration> known;  ///< The part of `waits` that this node knows.
   std::set<uint64_t> silent;
   int unaskedLeft = 0;
   int questions = 0;
@@ -172,7 +172,7 @@
   }
 }
 
-TEST_CASE("engines that rest are passed over, and those that leave are the last resort") {
+TEST_CASE("resting engines are skipped, leaving ones are used only if no other is left") {
   Fixture fixture;
   fixture.candidates = engines(3);
   fixture.context.now = Time(std::chrono::seconds(10));
