--- a/src/peers/mirror_role.cpp
+++ b/src/peers/mirror_role.cpp
@@ -172,7 +172,7 @@
     if (now < nextPollAt_ || questions_.size() >= kMaxOpenQuestions) {
       return;
     }
-    const std::optional<Time> proven = mirror_.provenAt(MirrorKind::kRows);
+    const std::optional<Time> proven = mirror_.confirmedAt(MirrorKind::kRows);
     if (proven && now - *proven < kPollInterval) {
       return;  // This node reads the store itself.
     }
@@ -191,7 +191,7 @@
                          MessageSender& sender, proto::MirrorAnswer& answer) {
   // Read before the content that it confirms: otherwise a change that is applied and confirmed in
   // between would be confirmed without being part of the content.
-  const std::optional<Time> proven = mirror_.provenAt(kind);
+  const std::optional<Time> proven = mirror_.confirmedAt(kind);
   const bool isShort = content_.fitsInDatagram(kind, held);
   const MirrorContentPtr missing = isShort || isPulled ? content_.since(kind, held) : nullptr;
   const size_t waiting = sender.waitingBytes();
@@ -285,18 +285,18 @@
   }
 }
 
-void MirrorRole::noteConfirmedRead(NodeId teller, std::optional<Time> provenAt, Time now) {
+void MirrorRole::noteConfirmedRead(NodeId teller, std::optional<Time> confirmedAt, Time now) {
   const std::lock_guard<std::mutex> lock(mutex_);
   const Duration old = duties_.isBelowRelays ? kStaleReadAge + kHopDelay : kStaleReadAge;
-  if (!provenAt || now - *provenAt > old) {
+  if (!confirmedAt || now - *confirmedAt > old) {
     ++pollOffset_;
   }
-  if (!provenAt) {
+  if (!confirmedAt) {
     return;
   }
-  newestPeerReadAt_ = std::max(newestPeerReadAt_, *provenAt);
+  newestPeerReadAt_ = std::max(newestPeerReadAt_, *confirmedAt);
   if (duties_.upstream.count(teller) > 0) {
-    upstreamReadAt_ = std::max(upstreamReadAt_, *provenAt);
+    upstreamReadAt_ = std::max(upstreamReadAt_, *confirmedAt);
   }
 }
 
@@ -307,7 +307,7 @@
 }
 
 bool MirrorRole::hasNewestRead() const {
-  const std::optional<Time> proven = mirror_.provenAt(MirrorKind::kRows);
+  const std::optional<Time> proven = mirror_.confirmedAt(MirrorKind::kRows);
   return proven && *proven > newestPeerReadAt_;
 }
 
@@ -391,7 +391,7 @@
     applyChanges(changes, now, sender);
     if (asked && changes.has_proof()) {
       const Duration age(static_cast<int64_t>(changes.proof_age_microseconds()));
-      mirror_.prove(kind, changes.to_revision(), asked->askedAt - age);
+      mirror_.confirm(kind, changes.to_revision(), asked->askedAt - age);
       if (kind == MirrorKind::kRows) {
         rowsProof = asked->askedAt - age;
         provenRows = changes.to_revision();
--- a/src/peers/mirror_role.h
+++ b/src/peers/mirror_role.h
@@ -104,7 +104,7 @@
   std::optional<NodeId> nodeToAsk() const;
   /// Records the confirmed read of the rows in an answer, and moves on to another node if it is
   /// stale.
-  void noteConfirmedRead(NodeId teller, std::optional<Time> provenAt, Time now);
+  void noteConfirmedRead(NodeId teller, std::optional<Time> confirmedAt, Time now);
   /// @return whether this node holds the rows of that revision or is pulling them.
   bool holdsOrPulls(uint64_t rows, Time now) const;
   /// Call with the lock held. @return whether the newest confirmed read is one of this node.
--- a/src/peers/state_mirror.cpp
+++ b/src/peers/state_mirror.cpp
@@ -135,7 +135,7 @@
   return applyNext(kind, differenceTo(kind, revision, entries));
 }
 
-void StateMirror::prove(MirrorKind kind, uint64_t revision, Time provenAt) {
+void StateMirror::confirm(MirrorKind kind, uint64_t revision, Time confirmedAt) {
   uint64_t held = 0;
   {
     const std::lock_guard<std::mutex> lock(mutex_);
@@ -146,9 +146,9 @@
       return;
     }
     held = state.notifiedRevision;
-    state.provenAt = state.provenAt ? std::max(*state.provenAt, provenAt) : provenAt;
+    state.confirmedAt = state.confirmedAt ? std::max(*state.confirmedAt, confirmedAt) : confirmedAt;
   }
-  onProof_(kind, held, provenAt);
+  onConfirmed_(kind, held, confirmedAt);
 }
 
 uint64_t StateMirror::revision(MirrorKind kind) const {
@@ -156,9 +156,9 @@
   return stateOf(kind).revision;
 }
 
-std::optional<Time> StateMirror::provenAt(MirrorKind kind) const {
+std::optional<Time> StateMirror::confirmedAt(MirrorKind kind) const {
   const std::lock_guard<std::mutex> lock(mutex_);
-  return stateOf(kind).provenAt;
+  return stateOf(kind).confirmedAt;
 }
 
 size_t StateMirror::textBytes(MirrorKind kind) const {
--- a/src/peers/state_mirror.h
+++ b/src/peers/state_mirror.h
@@ -67,23 +67,24 @@
       std::function<void(MirrorKind kind, const std::vector<MirrorEntry>& entries, bool isWhole)>;
 
   /// Called when a read confirms that nothing newer than `revision`, which this copy holds, existed
-  /// at `provenAt`.
-  using ProofListener = std::function<void(MirrorKind kind, uint64_t revision, Time provenAt)>;
+  /// at `confirmedAt`.
+  using ConfirmationListener =
+      std::function<void(MirrorKind kind, uint64_t revision, Time confirmedAt)>;
 
-  StateMirror(Listener listener, ProofListener onProof)
-      : listener_(std::move(listener)), onProof_(std::move(onProof)) {}
+  StateMirror(Listener listener, ConfirmationListener onConfirmed)
+      : listener_(std::move(listener)), onConfirmed_(std::move(onConfirmed)) {}
 
   MirrorOutcome apply(MirrorKind kind, const MirrorDelta& delta);
   /// Applies the whole kind as of a revision, and notifies the listener of the differences only.
   /// apply() does the same for a whole kind that consists of parts.
   MirrorOutcome applyList(MirrorKind kind, uint64_t revision,
                           const std::vector<MirrorEntry>& entries);
-  /// Records a read that confirmed that nothing newer than `revision` existed at `provenAt`.
+  /// Records a read that confirmed that nothing newer than `revision` existed at `confirmedAt`.
   /// Ignored unless this copy is complete up to that revision.
-  void prove(MirrorKind kind, uint64_t revision, Time provenAt);
+  void confirm(MirrorKind kind, uint64_t revision, Time confirmedAt);
 
   uint64_t revision(MirrorKind kind) const;
-  std::optional<Time> provenAt(MirrorKind kind) const;
+  std::optional<Time> confirmedAt(MirrorKind kind) const;
   /// @return total size of the texts of a kind, in bytes.
   size_t textBytes(MirrorKind kind) const;
   /// @return total size in bytes of the names and texts of the changes after `since`; 0 if there
@@ -111,7 +112,7 @@
     /// forgotten.
     std::map<std::string, MirrorEntry> gone;
     uint64_t goneKnownSince = 0;  ///< Removals after this revision are all in `gone`.
-    std::optional<Time> provenAt;
+    std::optional<Time> confirmedAt;
   };
 
   /// Call with the lock held. @return whether the changes since that revision can be sent.
@@ -135,7 +136,7 @@
   const KindState& stateOf(MirrorKind kind) const { return kinds_[static_cast<size_t>(kind)]; }
 
   Listener listener_;
-  ProofListener onProof_;
+  ConfirmationListener onConfirmed_;
   /// Held while a delta is computed, applied and passed to the listener; locked before mutex_.
   std::mutex applyMutex_;
   mutable std::mutex mutex_;
--- a/test/peers/mirror_role_test.cpp
+++ b/test/peers/mirror_role_test.cpp
@@ -90,7 +90,7 @@
   std::optional<Duration> oldestProof() const {
     Duration oldest(0);
     for (const auto& entry : nodes_) {
-      const std::optional<Time> proof = entry.second.mirror.provenAt(MirrorKind::kRows);
+      const std::optional<Time> proof = entry.second.mirror.confirmedAt(MirrorKind::kRows);
       if (!proof) {
         return std::nullopt;
       }
@@ -128,7 +128,7 @@
       Node& each = node(reader.value());
       MirrorDelta delta{0, revision, {MirrorEntry{"main", revision, false, text}}};
       each.mirror.apply(MirrorKind::kRows, delta);
-      each.mirror.prove(MirrorKind::kRows, revision, now);
+      each.mirror.confirm(MirrorKind::kRows, revision, now);
     }
   }
   /// The store answers the nodes that read instead of the readers.
@@ -138,7 +138,7 @@
         ++fallbackReads;
         MirrorDelta delta{0, revision, {MirrorEntry{"main", revision, false, text}}};
         each.mirror.apply(MirrorKind::kRows, delta);
-        each.mirror.prove(MirrorKind::kRows, revision, now);
+        each.mirror.confirm(MirrorKind::kRows, revision, now);
       }
     }
   }
@@ -279,7 +279,7 @@
   const Time askedAt = world.now;
   world.tickAll();
   world.deliver(std::chrono::milliseconds(20));
-  const auto proof = plain.mirror.provenAt(MirrorKind::kRows);
+  const auto proof = plain.mirror.confirmedAt(MirrorKind::kRows);
   REQUIRE(proof.has_value());
   CHECK(*proof <= askedAt - std::chrono::milliseconds(500));
   CHECK(*proof <= provenAt);
@@ -291,7 +291,7 @@
   world.readersRead(5, "five");
   world.tickAll();
   world.deliver();
-  const auto before = plain.mirror.provenAt(MirrorKind::kRows);
+  const auto before = plain.mirror.confirmedAt(MirrorKind::kRows);
   world.now += std::chrono::seconds(1);
   world.readersRead(6, "six");
   for (const NodeId reader : world.readers()) {
@@ -299,7 +299,7 @@
     node.role.announce(MirrorKind::kRows, 5, world.now, node.sender);
   }
   world.deliver();
-  CHECK(plain.mirror.provenAt(MirrorKind::kRows) == before);
+  CHECK(plain.mirror.confirmedAt(MirrorKind::kRows) == before);
 }
 
 TEST_CASE("a node whose readers are silent, or know nothing new, reads the store itself") {
@@ -352,7 +352,7 @@
   for (const NodeId reader : world.readers()) {
     const StateMirror& mirror = world.node(reader.value()).mirror;
     CHECK(mirror.revision(MirrorKind::kRows) == 6);
-    CHECK(world.now - *mirror.provenAt(MirrorKind::kRows) < std::chrono::milliseconds(1500));
+    CHECK(world.now - *mirror.confirmedAt(MirrorKind::kRows) < std::chrono::milliseconds(1500));
   }
 }
 
--- a/test/peers/state_mirror_test.cpp
+++ b/test/peers/state_mirror_test.cpp
@@ -100,11 +100,11 @@
 TEST_CASE("a proof counts only for a copy that is complete up to it, and never gets older") {
   Mirrored copy;
   copy.apply(0, 10, {entry("a", 3)});
-  copy.mirror.prove(Mirrored::kKind, 11, at(100));
-  CHECK_FALSE(copy.mirror.provenAt(Mirrored::kKind).has_value());
-  copy.mirror.prove(Mirrored::kKind, 10, at(200));
-  copy.mirror.prove(Mirrored::kKind, 9, at(150));
-  CHECK(copy.mirror.provenAt(Mirrored::kKind) == at(200));
+  copy.mirror.confirm(Mirrored::kKind, 11, at(100));
+  CHECK_FALSE(copy.mirror.confirmedAt(Mirrored::kKind).has_value());
+  copy.mirror.confirm(Mirrored::kKind, 10, at(200));
+  copy.mirror.confirm(Mirrored::kKind, 9, at(150));
+  CHECK(copy.mirror.confirmedAt(Mirrored::kKind) == at(200));
 }
 
 TEST_CASE("of an object that is read whole, only the parts that differ are told and passed on") {
@@ -161,13 +161,13 @@
   StateMirror* told = nullptr;
   StateMirror mirror(
       [&](MirrorKind kind, const std::vector<MirrorEntry>&, bool) {
-        told->prove(kind, 5, at(100));  // On another thread in the program, at this moment.
+        told->confirm(kind, 5, at(100));  // On another thread in the program, at this moment.
       },
       [&](MirrorKind, uint64_t revision, Time) { proven.push_back(revision); });
   told = &mirror;
   mirror.apply(MirrorKind::kRows, MirrorDelta{0, 5, {entry("a", 5)}});
   CHECK(proven.empty());
-  mirror.prove(MirrorKind::kRows, 5, at(200));
+  mirror.confirm(MirrorKind::kRows, 5, at(200));
   CHECK(proven == std::vector<uint64_t>{5});
 }
 
--- a/test/platform/table_spread_test.cpp
+++ b/test/platform/table_spread_test.cpp
@@ -191,7 +191,7 @@
       if (const auto since = takeTable(node.mirror, object)) {
         node.role.announce(MirrorKind::kRows, *since, now_, node);
       }
-      node.mirror.prove(MirrorKind::kRows, object.revision, node.readStartedAt);
+      node.mirror.confirm(MirrorKind::kRows, object.revision, node.readStartedAt);
       node.nextReadAt = std::max(now_, node.readStartedAt + kReadInterval);
     } else if (!node.reading && now_ >= node.nextReadAt && followsStore(node.role.duty(now_))) {
       node.reading = table_;
