--- a/src/peers/mirror_role.cpp
+++ b/src/peers/mirror_role.cpp
@@ -26,8 +26,8 @@
 /// Age that one more hop between the store and this node adds to a confirmed read: the interval
 /// between questions plus the transit time.
 constexpr Duration kHopDelay{500000};
-/// A relay whose last confirmed read is older than this asks another node. A reader that no other
-/// node answers reads the store every 0.6 s.
+/// A relay whose last confirmed read is older than this asks another node. A reader
+/// confirms its copy every 0.6 s by itself, even if no other node asks it.
 constexpr Duration kStaleReadAge{1100000};
 /// A relay whose last confirmed read is older than this reads the store itself.
 constexpr Duration kFallbackReadAge{1500000};
@@ -172,8 +172,8 @@
     if (now < nextPollAt_ || questions_.size() >= kMaxOpenQuestions) {
       return;
     }
-    const std::optional<Time> proven = mirror_.confirmedAt(MirrorKind::kRows);
-    if (proven && now - *proven < kPollInterval) {
+    const std::optional<Time> confirmed = mirror_.confirmedAt(MirrorKind::kRows);
+    if (confirmed && now - *confirmed < kPollInterval) {
       return;  // This node reads the store itself.
     }
     if (hasNewestRead() && !isUpstream(nodeToAsk())) {
@@ -191,7 +191,7 @@
                          MessageSender& sender, proto::MirrorAnswer& answer) {
   // Read before the content that it confirms: otherwise a change that is applied and confirmed in
   // between would be confirmed without being part of the content.
-  const std::optional<Time> proven = mirror_.confirmedAt(kind);
+  const std::optional<Time> confirmed = mirror_.confirmedAt(kind);
   const bool isShort = content_.fitsInDatagram(kind, held);
   const MirrorContentPtr missing = isShort || isPulled ? content_.since(kind, held) : nullptr;
   const size_t waiting = sender.waitingBytes();
@@ -208,11 +208,11 @@
     offer.set_kind(static_cast<uint32_t>(kind));
     offer.set_to_revision(changes.to_revision());
   }
-  if (proven) {
+  if (confirmed) {
     changes.set_has_proof(true);
-    changes.set_proof_age_microseconds(static_cast<uint64_t>((now - *proven).count()));
+    changes.set_proof_age_microseconds(static_cast<uint64_t>((now - *confirmed).count()));
   }
-  if (proven || (missing && hasRoom)) {
+  if (confirmed || (missing && hasRoom)) {
     *answer.add_changes() = std::move(changes);
   }
 }
@@ -307,8 +307,8 @@
 }
 
 bool MirrorRole::hasNewestRead() const {
-  const std::optional<Time> proven = mirror_.confirmedAt(MirrorKind::kRows);
-  return proven && *proven > newestPeerReadAt_;
+  const std::optional<Time> confirmed = mirror_.confirmedAt(MirrorKind::kRows);
+  return confirmed && *confirmed > newestPeerReadAt_;
 }
 
 bool MirrorRole::isUpstream(std::optional<NodeId> node) const {
@@ -381,8 +381,8 @@
   if (asked) {
     applyTimes(answer, asked->askedAt, now);
   }
-  std::optional<Time> rowsProof;
-  uint64_t provenRows = 0;
+  std::optional<Time> rowsConfirmedAt;
+  uint64_t confirmedRevision = 0;
   for (const proto::MirrorChanges& changes : answer.changes()) {
     if (changes.kind() >= kMirrorKinds) {
       continue;
@@ -393,8 +393,8 @@
       const Duration age(static_cast<int64_t>(changes.proof_age_microseconds()));
       mirror_.confirm(kind, changes.to_revision(), asked->askedAt - age);
       if (kind == MirrorKind::kRows) {
-        rowsProof = asked->askedAt - age;
-        provenRows = changes.to_revision();
+        rowsConfirmedAt = asked->askedAt - age;
+        confirmedRevision = changes.to_revision();
       }
     }
   }
@@ -407,7 +407,8 @@
   if (asked) {
     // A read of a revision that this node neither holds nor is pulling confirms nothing about its
     // copy.
-    noteConfirmedRead(asked->to, holdsOrPulls(provenRows, now) ? rowsProof : std::nullopt, now);
+    noteConfirmedRead(asked->to,
+                      holdsOrPulls(confirmedRevision, now) ? rowsConfirmedAt : std::nullopt, now);
   }
 }
 
--- a/test/peers/directory_world.h
+++ b/test/peers/directory_world.h
@@ -1,5 +1,5 @@
 /// @file
-/// Several nodes' directories whose messages are delivered as they are sent.
+/// Test fixture with the directories of several nodes, whose messages are delivered synchronously.
 #pragma once
 
 #include <map>
@@ -12,7 +12,7 @@
 
 namespace fernmoor::peers::test {
 
-/// Makes a directory from its node, a clock and a sender.
+/// Creates a directory from its node, a clock and a sender.
 template <class Directory>
 struct PlainMaker {
   std::unique_ptr<Directory> operator()(NodeId node, const Clock& clock,
@@ -21,8 +21,8 @@
   }
 };
 
-/// @tparam Directory a role that takes members.
-/// @tparam Maker makes the directory of a node; each time anew after a restart.
+/// @tparam Directory a role with setMembers().
+/// @tparam Maker creates the directory of a node, at first and after each restart.
 template <class Directory, class Maker = PlainMaker<Directory>>
 class DirectoryWorld {
  public:
@@ -55,13 +55,13 @@
       node.second->setMembers(members_);
     }
   }
-  /// Replaces the node by one that knows nothing.
+  /// Replaces a node by one without any state.
   void restart(uint64_t id) {
     const NodeId node(id);
     nodes_[node] = maker(node, clock, *senders_[node]);
     nodes_[node]->setMembers(members_);
   }
-  /// Tells all nodes of a member's new state.
+  /// Changes the state of a member in the snapshots of all nodes.
   void setState(uint64_t id, MemberState state) {
     members_ = std::make_shared<MembershipSnapshot>(*members_);
     for (Member& member : members_->members) {
@@ -73,7 +73,7 @@
       node.second->setMembers(members_);
     }
   }
-  /// Cuts these nodes off from the others, not from one another.
+  /// Partitions these nodes off from the others, but not from each other.
   void cut(const std::set<uint64_t>& nodes) { cutOff_ = nodes; }
   MessageSender& sender(NodeId id) { return *senders_.at(id); }
   Directory& node(NodeId id) { return *nodes_.at(id); }
@@ -83,8 +83,8 @@
   sim::VirtualClock clock;
   Maker maker;
   int messages = 0;
-  size_t messageBytes = 0;  ///< Of all messages, unsealed.
-  std::set<NodeId> silent;  ///< Nodes that get no messages.
+  size_t messageBytes = 0;  ///< Total size of all messages before they are sealed.
+  std::set<NodeId> silent;  ///< Nodes to which no messages are delivered.
 
  private:
   bool isCut(NodeId node) const { return cutOff_.count(node.value()) > 0; }
--- a/test/peers/engine_limits_test.cpp
+++ b/test/peers/engine_limits_test.cpp
@@ -1,6 +1,6 @@
 /// @file
-/// Tests of src/peers/load_directory.h: limits that engines state, kept by several nodes whose
-/// messages are delivered at once.
+/// Tests of src/peers/load_directory.h: limits that engines state, enforced by several nodes whose
+/// messages are delivered synchronously.
 #include <doctest/doctest.h>
 
 #include <functional>
@@ -31,12 +31,12 @@
  public:
   using DirectoryWorld::DirectoryWorld;
 
-  /// A node is told by the engine, in an answer that took 10 ms.
-  void tell(uint64_t id, std::optional<double> rate) {
-    gateway::EngineStatement told;
-    told.engine = kEngine;
-    told.limit = LimitStatement{rate, clock.now() - kStep, clock.now()};
-    node(id).noteStatement(told);
+  /// Delivers a limit to a node in an answer of the engine that took 10 ms.
+  void stateLimit(uint64_t id, std::optional<double> rate) {
+    gateway::EngineStatement statement;
+    statement.engine = kEngine;
+    statement.limit = LimitStatement{rate, clock.now() - kStep, clock.now()};
+    node(id).noteStatement(statement);
   }
   void pass(Duration time) {
     const Time end = clock.now() + time;
@@ -53,11 +53,11 @@
     const auto answer = node(id).reserve(kEngine, permitOnly(), kRoom, 1);
     return answer && answer->isGranted;
   }
-  /// All nodes ask again and again. @return requests that were permitted.
+  /// All nodes ask repeatedly. @return number of permitted requests.
   int permitted(Duration time) {
     return passing(time, [this](uint64_t id) { return isPermitted(id); });
   }
-  /// All nodes try again and again. @return how often one passed.
+  /// All nodes try repeatedly. @return number of successful tries.
   int passing(Duration time, const std::function<bool(uint64_t)>& tries) {
     int count = 0;
     for (Duration passed{0}; passed < time; passed += kStep) {
@@ -75,7 +75,7 @@
     }
     return sum;
   }
-  /// @return the node that counts for the engine: it tells nobody what it hears of it.
+  /// @return the owner of the engine, recognized by not sending a message when it reports a load.
   uint64_t owner() {
     for (uint64_t id = 1; id <= size(); ++id) {
       const int before = messages;
@@ -90,11 +90,11 @@
 
 }  // namespace
 
-TEST_CASE("what one node is told all keep, together") {
+TEST_CASE("a limit stated to one node is enforced by all nodes together") {
   for (const uint64_t count : {uint64_t{1}, uint64_t{7}, uint64_t{69}}) {
     LimitWorld world(count);
     CHECK(world.isPermitted(1));
-    world.tell(1, 1.4);
+    world.stateLimit(1, 1.4);
     CHECK(world.nodesThatKnow() == count);
     const int permitted = world.permitted(std::chrono::seconds(20));
     CHECK(permitted >= 26);
@@ -102,14 +102,14 @@
   }
 }
 
-TEST_CASE("a limit ends for all with an answer that states none") {
+TEST_CASE("an answer without a limit ends the limit at all nodes") {
   LimitWorld world(7);
-  world.tell(1, 1.4);
+  world.stateLimit(1, 1.4);
   world.pass(std::chrono::seconds(1));
-  world.tell(3, std::nullopt);
+  world.stateLimit(3, std::nullopt);
   CHECK(world.nodesThatKnow() == 0);
   CHECK(world.permitted(std::chrono::seconds(1)) == 700);
-  SUBCASE("and engines without limits cost no message between nodes beside the questions") {
+  SUBCASE("engines without limits cost no messages besides the questions") {
     world.pass(std::chrono::seconds(20));
     const int before = world.messages;
     world.pass(std::chrono::seconds(20));
@@ -117,16 +117,16 @@
   }
 }
 
-TEST_CASE("whoever counts next gives no more than the limit, as askers tell it") {
+TEST_CASE("a new owner learns the limit from the questions and does not exceed it") {
   LimitWorld world(7);
-  world.tell(1, 1.4);
+  world.stateLimit(1, 1.4);
   int permitted = world.permitted(std::chrono::seconds(4));
   for (int round = 0; round < 5; ++round) {
     const uint64_t owner = world.owner();
-    SUBCASE("it is started anew") {
+    SUBCASE("the owner restarts") {
       world.restart(owner);
     }
-    SUBCASE("it is a suspect, and comes back") {
+    SUBCASE("the owner is suspected and comes back") {
       world.setState(owner, MemberState::kSuspect);
       permitted += world.permitted(std::chrono::seconds(2));
       world.setState(owner, MemberState::kAlive);
@@ -134,16 +134,16 @@
     permitted += world.permitted(std::chrono::seconds(4));
   }
   CHECK(permitted >= 20);
-  // A suspect goes on counting for itself until it hears that it is one.
+  // A suspected node keeps acting as the owner until it learns that it is suspected.
   CHECK(permitted <= 1.4 * (24 + 2 * 5 * 2) + 8);
 }
 
-TEST_CASE("two sides of a cut together keep the limit") {
+TEST_CASE("both sides of a partition together stay within the limit") {
   LimitWorld world(6);
-  world.tell(1, 10);
+  world.stateLimit(1, 10);
   world.cut({1, 2});
-  for (const uint64_t away : {1, 2}) {
-    world.setState(away, MemberState::kSuspect);
+  for (const uint64_t unreachable : {1, 2}) {
+    world.setState(unreachable, MemberState::kSuspect);
   }
   for (uint64_t id = 1; id <= 6; ++id) {
     world.node(id).setReachableShare(id <= 2 ? 2.0 / 6 : 4.0 / 6);
@@ -153,10 +153,10 @@
 }
 
 TEST_CASE(
-    "who counts for an engine and does not answer costs its permits, and at most half as many "
-    "pass") {
+    "if the owner of an engine does not answer, at most half as many requests are sent without a "
+    "permit") {
   LimitWorld world(5);
-  world.tell(1, 10);
+  world.stateLimit(1, 10);
   world.silent.insert(NodeId(world.owner()));
   const int passed = world.passing(
       std::chrono::seconds(4), [&](uint64_t id) { return world.node(id).mayGoUnasked(kEngine); });
@@ -164,9 +164,9 @@
   CHECK(passed <= 20);
 }
 
-TEST_CASE("a node that comes later hears of a limit without asking") {
+TEST_CASE("a restarted node receives a limit without asking") {
   LimitWorld world(7);
-  world.tell(1, 1.4);
+  world.stateLimit(1, 1.4);
   world.pass(std::chrono::seconds(1));
   const uint64_t other = world.owner() == 7 ? 6 : 7;
   world.restart(other);
@@ -175,9 +175,9 @@
   CHECK(world.node(other).limitedCount() == 1);
 }
 
-TEST_CASE("a permit that is not used is another one's, also where its answer came too late") {
+TEST_CASE("an unused permit is granted to another request") {
   LimitWorld world(2);
-  world.tell(1, 0.5);
+  world.stateLimit(1, 0.5);
   world.pass(std::chrono::seconds(3));
   const uint64_t asker = world.owner() == 1 ? 2 : 1;
   const LoadAnswer answer = *world.node(asker).reserve(kEngine, permitOnly(), kRoom, 1);
@@ -187,9 +187,9 @@
   CHECK(world.node(asker).reserve(kEngine, permitOnly(), kRoom, 1)->isGranted);
 }
 
-TEST_CASE("an engine that has too much to do keeps its permit") {
+TEST_CASE("a request that is rejected for load does not use up a permit") {
   LimitWorld world(2);
-  world.tell(1, 0.5);
+  world.stateLimit(1, 0.5);
   world.pass(std::chrono::seconds(3));
   gateway::EngineDemand demand;
   demand.promptTokens = 9000;
@@ -199,13 +199,13 @@
   CHECK(answer.ticket.hasPermit);
 }
 
-TEST_CASE("limits that change all the time are told to all at most ten times a second") {
+TEST_CASE("limits that change all the time are broadcast at most ten times a second") {
   LimitWorld world(7);
-  world.tell(1, 1.4);
+  world.stateLimit(1, 1.4);
   world.pass(std::chrono::seconds(1));
   const int before = world.messages;
   for (int change = 0; change < 100; ++change) {
-    world.tell(1, 1.0 + change % 2);
+    world.stateLimit(1, 1.0 + change % 2);
     world.pass(kStep);
   }
   CHECK(world.messages - before <= 100 + 10 * 2 * 7);
--- a/test/peers/engine_statements_test.cpp
+++ b/test/peers/engine_statements_test.cpp
@@ -1,6 +1,6 @@
 /// @file
-/// Tests of src/peers/load_directory.h: what engines state of leaving and rest, told among several
-/// nodes whose messages are delivered at once.
+/// Tests of src/peers/load_directory.h: distribution of the statements of engines that they leave
+/// or need a pause, among several nodes whose messages are delivered synchronously.
 #include <doctest/doctest.h>
 
 #include <map>
@@ -22,8 +22,7 @@
   return listing;
 }
 
-/// Each node has a set of back ends of its own, with one engine; a node that is started anew has a
-/// new one.
+/// Gives each node its own set of back ends with one engine; a restarted node gets a new set.
 struct DirectoryMaker {
   std::unique_ptr<LoadDirectory> operator()(NodeId node, const Clock& clock,
                                             MessageSender& sender) const {
@@ -44,18 +43,18 @@
   const uint64_t engine = incarnationHash(engineListing());
 
   BackendSet& engines(uint64_t id) { return *maker.sets->at(NodeId(id)); }
-  /// The engine says to a node that it leaves.
-  void tellLeaving(uint64_t id) {
-    gateway::EngineStatement told;
-    told.engine = engine;
-    told.leavingSince = clock.now();
-    node(id).noteStatement(told);
+  /// Delivers to a node the statement of the engine that it is leaving.
+  void stateLeaving(uint64_t id) {
+    gateway::EngineStatement statement;
+    statement.engine = engine;
+    statement.leavingSince = clock.now();
+    node(id).noteStatement(statement);
   }
-  void tellRest(uint64_t id, Duration rest) {
-    gateway::EngineStatement told;
-    told.engine = engine;
-    told.restsUntil = clock.now() + rest;
-    node(id).noteStatement(told);
+  void stateRest(uint64_t id, Duration rest) {
+    gateway::EngineStatement statement;
+    statement.engine = engine;
+    statement.restsUntil = clock.now() + rest;
+    node(id).noteStatement(statement);
   }
   void pass(Duration time) {
     const Time end = clock.now() + time;
@@ -73,7 +72,7 @@
     }
     return count;
   }
-  /// @return the node that counts for the engine: it tells nobody what it hears of it.
+  /// @return the owner of the engine, recognized by not sending a message when it reports a load.
   uint64_t owner() {
     for (uint64_t id = 1; id <= size(); ++id) {
       const int before = messages;
@@ -88,27 +87,27 @@
 
 }  // namespace
 
-TEST_CASE("what an engine tells one node that it leaves all nodes know at once") {
+TEST_CASE("a leaving statement to one node reaches all nodes at once") {
   for (const uint64_t count : {uint64_t{1}, uint64_t{7}, uint64_t{69}}) {
     StatementWorld world(count);
-    world.tellLeaving(count);
+    world.stateLeaving(count);
     CHECK(world.nodesThatKnow() == count);
     const int before = world.messages;
-    world.tellLeaving(1);
+    world.stateLeaving(1);
     CHECK(world.messages == before);
   }
 }
 
-TEST_CASE("a node that begins later hears of an engine that leaves, whoever begins") {
+TEST_CASE("a restarted node receives the statement of a leaving engine") {
   StatementWorld world(7);
-  world.tellLeaving(1);
+  world.stateLeaving(1);
   world.pass(std::chrono::seconds(1));
-  SUBCASE("the one that counts for the engine") {
+  SUBCASE("the owner of the engine") {
     const uint64_t owner = world.owner();
     world.restart(owner);
     CHECK(world.nodesThatKnow() == 6);
   }
-  SUBCASE("another one") {
+  SUBCASE("another node") {
     world.restart(world.owner() == 7 ? 6 : 7);
     CHECK(world.nodesThatKnow() == 6);
   }
@@ -116,20 +115,20 @@
   CHECK(world.nodesThatKnow() == 7);
 }
 
-TEST_CASE("a statement whose message was lost is told again") {
+TEST_CASE("a statement whose message was lost is sent again") {
   StatementWorld world(7);
   const uint64_t owner = world.owner();
   world.silent.insert(NodeId(owner));
-  world.tellLeaving(owner == 1 ? 2 : 1);
+  world.stateLeaving(owner == 1 ? 2 : 1);
   CHECK(world.nodesThatKnow() == 1);
   world.silent.clear();
   world.pass(std::chrono::seconds(1));
   CHECK(world.nodesThatKnow() == 7);
 }
 
-TEST_CASE("a rest binds the node that was asked for it, and all others spare the engine") {
+TEST_CASE("a pause binds the node that received it, and all other nodes avoid the engine") {
   StatementWorld world(7);
-  world.tellRest(3, std::chrono::seconds(3));
+  world.stateRest(3, std::chrono::seconds(3));
   for (uint64_t id = 1; id <= world.size(); ++id) {
     const BackendView view = world.engines(id).membersOf("pool", "", world.clock.now()).at(0);
     CHECK((view.restsUntil > world.clock.now()) == (id == 3));
@@ -139,21 +138,21 @@
   for (uint64_t id = 1; id <= world.size(); ++id) {
     CHECK_FALSE(world.engines(id).membersOf("pool", "", world.clock.now()).at(0).isAvoided);
   }
-  SUBCASE("and it costs no message any more when it is over") {
+  SUBCASE("and it costs no messages once it is over") {
     const int before = world.messages;
     world.pass(std::chrono::seconds(20));
     CHECK(world.messages == before);
   }
 }
 
-TEST_CASE("what an engine states of all kinds is told together") {
+TEST_CASE("statements of all kinds are sent together") {
   StatementWorld world(5);
-  gateway::EngineStatement told;
-  told.engine = world.engine;
-  told.limit = gateway::LimitStatement{1.4, world.clock.now(), world.clock.now()};
-  told.leavingSince = world.clock.now();
-  told.restsUntil = world.clock.now() + std::chrono::seconds(2);
-  world.node(2).noteStatement(told);
+  gateway::EngineStatement statement;
+  statement.engine = world.engine;
+  statement.limit = gateway::LimitStatement{1.4, world.clock.now(), world.clock.now()};
+  statement.leavingSince = world.clock.now();
+  statement.restsUntil = world.clock.now() + std::chrono::seconds(2);
+  world.node(2).noteStatement(statement);
   for (uint64_t id = 1; id <= world.size(); ++id) {
     CHECK(world.node(id).limitedCount() == 1);
     CHECK_FALSE(world.engines(id).isUsable("e"));
--- a/test/peers/load_directory_test.cpp
+++ b/test/peers/load_directory_test.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// Tests of src/peers/load_directory.h: several nodes whose messages are delivered at once.
+/// Tests of src/peers/load_directory.h: several nodes whose messages are delivered synchronously.
 #include "peers/load_directory.h"
 
 #include <doctest/doctest.h>
@@ -33,7 +33,7 @@
 
 }  // namespace
 
-TEST_CASE("an engine's load is that of all nodes together") {
+TEST_CASE("the load of an engine is the sum over all nodes") {
   LoadWorld world(7);
   for (uint64_t engine = 1000; engine < 1050; ++engine) {
     CHECK(world.node(1).reserve(engine, demandOf(9000), kRoom, kBound)->isGranted);
@@ -42,7 +42,7 @@
   }
 }
 
-TEST_CASE("a released request waits no longer, whoever asked") {
+TEST_CASE("a released request no longer counts as load, whichever node sent it") {
   LoadWorld world(7);
   for (uint64_t engine = 1000; engine < 1050; ++engine) {
     const LoadAnswer answer = *world.node(1).reserve(engine, demandOf(20000), kRoom, kBound);
@@ -52,7 +52,9 @@
   CHECK(world.enginesCounted() == 0);
 }
 
-TEST_CASE("a request whose prompt was read waits no longer, and keeps its place until it ends") {
+TEST_CASE(
+    "a request whose prompt was read no longer counts as pending, but keeps its place until it "
+    "ends") {
   LoadWorld world(7);
   const gateway::EngineRoom room{1, 0};
   for (uint64_t engine = 1000; engine < 1050; ++engine) {
@@ -78,7 +80,7 @@
   }
 }
 
-TEST_CASE("a node that does not answer costs the knowledge, not the request") {
+TEST_CASE("if the owner does not answer, the load is unknown but the request goes on") {
   LoadWorld world(2);
   world.silent.insert(NodeId(2));
   int answered = 0;
@@ -89,7 +91,7 @@
   CHECK(answered < 20);
 }
 
-TEST_CASE("an answer that comes after its request went on is given back") {
+TEST_CASE("a reservation whose answer arrives too late is given back") {
   LoadWorld world(2);
   proto::Envelope late;
   proto::LoadAnswer& answer = *late.mutable_load()->mutable_answer();
--- a/test/peers/packed_entries_test.cpp
+++ b/test/peers/packed_entries_test.cpp
@@ -29,7 +29,7 @@
 
 }  // namespace
 
-TEST_CASE("many entries are packed, few are not, and all come out as they went in") {
+TEST_CASE("many entries are compressed, few are not, and all are decoded unchanged") {
   for (const size_t count : {0, 1, 3, 2000}) {
     const std::vector<MirrorEntry> entries = rows(count);
     const proto::MirrorChanges changes = packed(entries);
@@ -47,21 +47,21 @@
   CHECK(packed(rows(2000)).ByteSizeLong() < 30000);
 }
 
-TEST_CASE("bytes that are no entries, or more than stated, are refused") {
+TEST_CASE("corrupt data and data of a size other than stated are rejected") {
   const proto::MirrorChanges good = packed(rows(2000));
-  const auto isRefused = [](const proto::MirrorChanges& changes, ErrorKind kind) {
+  const auto isRejected = [](const proto::MirrorChanges& changes, ErrorKind kind) {
     const auto unpacked = unpackEntries(changes);
     return !isOk(unpacked) && errorOf(unpacked).kind == kind;
   };
   proto::MirrorChanges bad = good;
   bad.set_packed_entries(good.packed_entries().substr(0, good.packed_entries().size() / 2));
-  CHECK(isRefused(bad, ErrorKind::kInvalidRequest));
+  CHECK(isRejected(bad, ErrorKind::kInvalidRequest));
   bad = good;
   bad.set_unpacked_bytes(good.unpacked_bytes() - 1);
-  CHECK(isRefused(bad, ErrorKind::kInvalidRequest));
+  CHECK(isRejected(bad, ErrorKind::kInvalidRequest));
   bad = good;
   bad.set_unpacked_bytes(uint64_t{1} << 40U);
-  CHECK(isRefused(bad, ErrorKind::kTooLarge));
+  CHECK(isRejected(bad, ErrorKind::kTooLarge));
   Random random(7);
   for (int round = 0; round < 200; ++round) {
     std::string noise(1 + random.below(400), '\0');
--- a/test/peers/part_directory_test.cpp
+++ b/test/peers/part_directory_test.cpp
@@ -1,5 +1,6 @@
 /// @file
-/// Tests of src/peers/part_directory.h: several directories whose messages are delivered at once.
+/// Tests of src/peers/part_directory.h: several directories whose messages are delivered
+/// synchronously.
 #include "peers/part_directory.h"
 
 #include <doctest/doctest.h>
@@ -15,12 +16,12 @@
 
 using DirectoryWorld = test::DirectoryWorld<PartDirectory>;
 
-/// After it a node knows all parts that it keeps.
+/// Run time after which a node is expected to have all hints that it owns.
 constexpr std::chrono::seconds kLongRun(30);
 
 }  // namespace
 
-TEST_CASE("what one node notes of a part every node finds") {
+TEST_CASE("every node finds the hint that one node recorded") {
   DirectoryWorld world(7);
   for (PartKey part = 100; part < 150; ++part) {
     world.node(1).note({part}, part * 2, part % 2 == 0);
@@ -43,11 +44,12 @@
       world.node(1).find({part, part + 1000});
       world.node(1).note({part, part + 1000}, 5, false);
     }
-    CHECK(world.messages <= 100 * 8);  // Two questions with answers, two parts told to two keepers.
+    CHECK(world.messages <=
+          100 * 8);  // Two questions with answers, and two parts reported to two owners each.
   }
 }
 
-TEST_CASE("of a prompt in very many parts no more is told than is ever asked for") {
+TEST_CASE("of a prompt with very many parts, no more are reported than are ever looked up") {
   std::vector<PartKey> parts;
   for (PartKey part = 0; part < 4096; ++part) {
     parts.push_back(part << 32U | part);
@@ -61,7 +63,7 @@
   CHECK(world.messageBytes < 8192);
 }
 
-TEST_CASE("parts stay known though one of their keepers") {
+TEST_CASE("parts stay known even if one of their owners") {
   DirectoryWorld world(7);
   for (PartKey part = 100; part < 150; ++part) {
     world.node(1).note({part}, part * 2, true);
@@ -69,7 +71,7 @@
   SUBCASE("does not answer") {
     world.silent.insert(NodeId(3));
   }
-  SUBCASE("was restarted a moment ago") {
+  SUBCASE("was restarted recently") {
     world.restart(3);
   }
   for (PartKey part = 100; part < 150; ++part) {
@@ -77,14 +79,14 @@
   }
 }
 
-TEST_CASE("a keeper that has run for long is believed when it knows nothing") {
+TEST_CASE("an owner that has run for long is trusted when it has no hint") {
   DirectoryWorld world(7);
   world.clock.advanceTo(world.clock.now() + kLongRun);
   world.node(1).find({100});
   CHECK(world.messages <= 2);
 }
 
-TEST_CASE("nodes that do not answer cost their hints, not the request") {
+TEST_CASE("owners that do not answer cost their hints, not the request") {
   DirectoryWorld world(2);
   world.silent.insert(NodeId(2));
   for (PartKey part = 0; part < 20; ++part) {
--- a/test/peers/relay_tiers_test.cpp
+++ b/test/peers/relay_tiers_test.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// Tests of src/peers/relay_tiers.h; how its tiers work together is tested with the role.
+/// Tests of src/peers/relay_tiers.h; mirror_role_test.cpp tests how the tiers work together.
 #include "peers/relay_tiers.h"
 
 #include <doctest/doctest.h>
@@ -9,7 +9,7 @@
 
 namespace fernmoor::peers {
 
-TEST_CASE("nodes with wide links read the store and pass on what they read") {
+TEST_CASE("nodes with high link bandwidth become readers and relays") {
   constexpr uint32_t kNarrow = 10;
   constexpr uint32_t kWide = 200;
   constexpr uint64_t kNodes = 79;
--- a/test/quarantine/crash_evidence_test.cpp
+++ b/test/quarantine/crash_evidence_test.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// Tests of src/quarantine/crash_evidence.h: who is suspected when engines end.
+/// Tests of src/quarantine/crash_evidence.h: which requests are suspected when engines crash.
 #include "quarantine/crash_evidence.h"
 
 #include <doctest/doctest.h>
@@ -21,7 +21,8 @@
 
 }  // namespace
 
-TEST_CASE("a request under which three engines ended, one after the other, is suspected") {
+TEST_CASE(
+    "a request that was running when three engines crashed one after the other is suspected") {
   CrashEvidence evidence;
   CHECK_FALSE(evidence.note(kPoison, runAt(1, 0, 100), at(100)));
   CHECK_FALSE(evidence.note(kPoison, runAt(2, 800, 900), at(900)));
@@ -32,78 +33,79 @@
   CHECK(suspicion->since() == at(0));
 }
 
-TEST_CASE("one end of an engine counts once") {
+TEST_CASE("one crash of an engine counts once") {
   CrashEvidence evidence;
-  SUBCASE("however many nodes tell of it") {
+  SUBCASE("however many nodes report it") {
     for (int node = 0; node < 5; ++node) {
       CHECK_FALSE(evidence.note(kPoison, runAt(1, 0, 100 + node * 20), at(200)));
     }
     CHECK(evidence.runsOf(kPoison).size() == 1);
   }
-  SUBCASE("and once more after it started again under its name, which the list may not tell yet") {
+  SUBCASE("and again after a restart under the same name, which may not be listed yet") {
     CHECK_FALSE(evidence.note(kPoison, runAt(1, 0, 100), at(100)));
     CHECK_FALSE(evidence.note(kPoison, runAt(1, 3000, 3100), at(3100)));
     CHECK(evidence.note(kPoison, runAt(1, 6000, 6100), at(6100)));
   }
 }
 
-TEST_CASE("engines that end at the same moment, as with a rack, are one event") {
+TEST_CASE("engines that crash at the same time, as with a rack, count as one event") {
   CrashEvidence evidence;
   for (uint64_t engine = 1; engine <= 4; ++engine) {
     CHECK_FALSE(
         evidence.note(kVictim, runAt(engine, static_cast<int64_t>(engine) * 10, 500), at(500)));
   }
-  SUBCASE("what is sent again and crashes another one at once is not suspected yet") {
+  SUBCASE("a request that is retried and crashes another engine soon after is not suspected yet") {
     CHECK_FALSE(evidence.note(kVictim, runAt(9, 1200, 1300), at(1300)));
     CHECK_FALSE(evidence.note(kVictim, runAt(10, 1210, 1310), at(1310)));
-    SUBCASE("but when it crashes one in a third step") {
+    SUBCASE("but is once it crashes an engine in a third step") {
       CHECK(evidence.note(kVictim, runAt(11, 2000, 2100), at(2100)));
     }
   }
-  SUBCASE("what crashes another one seconds later is suspected, though these are two steps only") {
+  SUBCASE("a request that crashes another engine seconds later is suspected after two steps") {
     CHECK(evidence.note(kVictim, runAt(9, 3400, 3500), at(3500)));
   }
-  SUBCASE("what is served in between begins anew") {
+  SUBCASE("a request that is served in between starts over") {
     evidence.clear(kVictim);
     CHECK_FALSE(evidence.note(kVictim, runAt(9, 1200, 1300), at(1300)));
   }
 }
 
-TEST_CASE("a process whose start is known ends once, however far apart its runs were cut off") {
+TEST_CASE(
+    "runs of a process with known start count as one crash, however far apart they were cut off") {
   CrashEvidence evidence;
   CrashedRun first = runAt(1, 0, 100);
   CrashedRun later = runAt(1, 2000, 3500);
-  size_t ends = 2;
+  size_t crashes = 2;
   SUBCASE("its start is known") {
     first.startKnown = later.startKnown = true;
-    ends = 1;
+    crashes = 1;
   }
   SUBCASE("its start is not known") {}
   evidence.note(kVictim, first, at(100));
   evidence.note(kVictim, later, at(3500));
-  CHECK(evidence.runsOf(kVictim).size() == ends);
+  CHECK(evidence.runsOf(kVictim).size() == crashes);
 }
 
-TEST_CASE("ends that another request explains count against nobody else") {
+TEST_CASE("crashes that one request explains do not count against others") {
   CrashEvidence evidence;
   evidence.note(kVictim, runAt(1, 0, 100), at(100));
   evidence.note(kVictim, runAt(2, 800, 900), at(900));
-  SUBCASE("those held already") {
+  SUBCASE("crashes that are held already") {
     evidence.explain(kPoison, {runAt(1, 50, 110), runAt(2, 850, 890)});
     CHECK(evidence.runsOf(kVictim).empty());
   }
-  SUBCASE("and those told later") {
+  SUBCASE("crashes that are reported later") {
     evidence.explain(kPoison, {runAt(3, 1600, 1700)});
     CHECK_FALSE(evidence.note(kVictim, runAt(3, 1550, 1720), at(1730)));
     CHECK(evidence.runsOf(kVictim).size() == 2);
   }
-  SUBCASE("not those of other engines, or of the same one seconds later") {
+  SUBCASE("but not a crash of the same engine seconds later") {
     evidence.explain(kPoison, {runAt(3, 1600, 1700)});
     CHECK(evidence.note(kVictim, runAt(3, 4600, 4700), at(4700)));
   }
 }
 
-TEST_CASE("a request that could not be told from another one needs a further end") {
+TEST_CASE("a request that can't be told apart from another one needs a further crash") {
   CrashEvidence evidence;
   for (uint64_t engine = 1; engine <= 3; ++engine) {
     const auto began = static_cast<int64_t>(engine) * 1000;
@@ -117,15 +119,15 @@
   CHECK_FALSE(evidence.requireOneMoreCrash(kPoison));
 }
 
-TEST_CASE("evidence is forgotten after a time, and bounded in number") {
+TEST_CASE("evidence expires and is bounded in number") {
   CrashEvidence evidence;
   evidence.note(kPoison, runAt(1, 0, 100), at(100));
   evidence.note(kPoison, runAt(2, 800, 900), at(900));
-  SUBCASE("a request that comes back much later begins anew") {
+  SUBCASE("a request that comes back much later starts over") {
     constexpr int64_t later = 660000;  // 11 minutes.
     CHECK_FALSE(evidence.note(kPoison, runAt(3, later, later + 100), at(later + 100)));
   }
-  SUBCASE("a flood of requests that each saw one end pushes out none that saw two") {
+  SUBCASE("a flood of requests with one crash each evicts none with two") {
     for (uint64_t fingerprint = 100; fingerprint < 20000; ++fingerprint) {
       evidence.note(fingerprint, runAt(3, 1000, 1100), at(1100));
     }
--- a/test/quarantine/quarantine_table_test.cpp
+++ b/test/quarantine/quarantine_table_test.cpp
@@ -23,11 +23,11 @@
   CHECK_FALSE(table.add(Quarantined{5, at(1)}, at(1)));
   CHECK(table.timeLeft(5, at(60)) == std::chrono::seconds(29 * 60));
   CHECK_FALSE(table.timeLeft(5, at(1800)));
-  SUBCASE("and again when it comes again after that") {
+  SUBCASE("and may be quarantined again after that") {
     CHECK(table.add(Quarantined{5, at(2000)}, at(2000)));
     CHECK(table.timeLeft(5, at(2001)));
   }
-  SUBCASE("an old verdict that comes late quarantines nobody") {
+  SUBCASE("an expired verdict that arrives late has no effect") {
     CHECK_FALSE(table.add(Quarantined{6, at(0)}, at(1800)));
     CHECK_FALSE(table.timeLeft(6, at(1800)));
   }
@@ -37,7 +37,7 @@
   }
 }
 
-TEST_CASE("the table knows what has to go into the store and out of it") {
+TEST_CASE("the table lists the requests to write to the store and to remove from it") {
   QuarantineTable table;
   table.add(Quarantined{5, at(0)}, at(0));
   table.add(Quarantined{6, at(0)}, at(0));
@@ -49,7 +49,7 @@
   CHECK(table.size() == 0);
 }
 
-TEST_CASE("the table is bounded: the oldest goes first") {
+TEST_CASE("the table is bounded and drops the oldest request first") {
   QuarantineTable table;
   for (uint64_t fingerprint = 1; fingerprint <= 1500; ++fingerprint) {
     table.add(Quarantined{fingerprint, at(static_cast<int64_t>(fingerprint) / 10)}, at(200));
@@ -59,7 +59,7 @@
   CHECK_FALSE(table.timeLeft(1, at(200)));
 }
 
-TEST_CASE("the memory of served requests keeps the newest, at least a generation") {
+TEST_CASE("the memory of served requests keeps at least the newest generation") {
   ServedMemory memory;
   memory.note(1, at(0));
   CHECK(memory.wasServedAfter(1, at(-1)));
