--- a/test/peers/quarantine_directory_test.cpp
+++ b/test/peers/quarantine_directory_test.cpp
@@ -1,5 +1,6 @@
 /// @file
-/// Tests of src/peers/quarantine_directory.h: several nodes whose messages are delivered at once.
+/// Tests of src/peers/quarantine_directory.h: several nodes whose messages are
+/// delivered synchronously.
 #include "peers/quarantine_directory.h"
 
 #include <doctest/doctest.h>
@@ -19,7 +20,8 @@
 
 }  // namespace
 
-TEST_CASE("three crashes that three nodes saw are known to all within half a second") {
+TEST_CASE(
+    "after three crashes at three nodes, all nodes quarantine the request within half a second") {
   QuarantineWorld world(7);
   for (uint64_t engine = 1; engine <= 3; ++engine) {
     world.pass(kBetween);
@@ -30,7 +32,7 @@
   CHECK(world.quarantinedAt(kPoison) == 7);
 }
 
-TEST_CASE("nodes hold a request while it is decided on, and an innocent one goes on") {
+TEST_CASE("nodes hold a request until a decision, and other requests proceed") {
   QuarantineWorld world(7);
   for (uint64_t engine = 1; engine <= 3; ++engine) {
     world.pass(kBetween);
@@ -44,7 +46,7 @@
     world.pass(std::chrono::milliseconds(400));
     CHECK(world.quarantinedAt(kPoison) == 7);
   }
-  SUBCASE("a third of a second at most where none comes") {
+  SUBCASE("for 350 ms if no verdict arrives") {
     world.silent = {NodeId(1), NodeId(2), NodeId(3), NodeId(4), NodeId(5), NodeId(6), NodeId(7)};
     world.clock.advanceTo(world.clock.now() + std::chrono::milliseconds(350));
   }
@@ -54,7 +56,7 @@
   }
 }
 
-TEST_CASE("a node that saw a crash holds its request for a trip and back only") {
+TEST_CASE("a node that saw a crash holds its request for one round trip only") {
   QuarantineWorld world(7);
   world.crash(1, {{1, kVictim}});
   CHECK(world.node(1).isHeld(kVictim));
@@ -64,7 +66,8 @@
   world.node(1).awaitDecision(kVictim);
 }
 
-TEST_CASE("a verdict on another request that explains the ends of a proposal ends it") {
+TEST_CASE(
+    "a verdict that explains the crashes of a proposal for another request ends that proposal") {
   QuarantineWorld world(7);
   for (uint64_t engine = 1; engine <= 2; ++engine) {
     world.pass(kBetween);
@@ -79,7 +82,7 @@
   CHECK(world.quarantinedAt(kVictim) == 0);
 }
 
-TEST_CASE("evidence is handed on while all nodes are stopped and started in turn") {
+TEST_CASE("evidence is handed over while all nodes restart in turn") {
   QuarantineWorld world(7);
   world.crash(1, {{1, kPoison}});
   world.pass(kBetween);
@@ -98,7 +101,7 @@
   CHECK(world.quarantinedAt(kPoison) == 7);
 }
 
-TEST_CASE("a node that no message reached is told again") {
+TEST_CASE("a verdict is sent again to a node that missed it") {
   QuarantineWorld world(7);
   for (uint64_t engine = 1; engine <= 3; ++engine) {
     world.pass(kBetween);
@@ -112,7 +115,7 @@
   CHECK(world.node(6).timeLeft(kPoison));
 }
 
-TEST_CASE("what was served meanwhile, anywhere, is not quarantined") {
+TEST_CASE("a request that was served meanwhile by any node is not quarantined") {
   QuarantineWorld world(7);
   world.pass(kBetween);
   world.crash(1, {{1, kVictim}, {2, kVictim}});
@@ -129,7 +132,7 @@
   world.crash(3, {{3, kVictim}});
   world.pass(std::chrono::milliseconds(2000));
   CHECK(world.quarantinedAt(kVictim) == 0);
-  // Nothing is held against it any more: it takes three ends more.
+  // The evidence was dropped, so three further crashes are needed.
   world.crash(4, {{4, kVictim}});
   world.pass(kBetween);
   world.crash(5, {{4, kVictim}});
@@ -137,7 +140,7 @@
   CHECK(world.quarantinedAt(kVictim) == 0);
 }
 
-TEST_CASE("of two requests that were at the same ends the one that crashes the next is meant") {
+TEST_CASE("of two requests with the same crashes, the one that causes the next is quarantined") {
   QuarantineWorld world(7);
   for (uint64_t engine = 1; engine <= 3; ++engine) {
     world.pass(kBetween);
@@ -150,7 +153,7 @@
   world.pass(kBetween);
   CHECK(world.quarantinedAt(kPoison) == 7);
   CHECK(world.quarantinedAt(kVictim) == 0);
-  SUBCASE("and the ends that it explains count against the other no more") {
+  SUBCASE("and the crashes that it explains no longer count against the other") {
     world.crash(5, {{1, kVictim}});
     world.pass(kBetween);
     world.crash(6, {{2, kVictim}});
@@ -159,7 +162,7 @@
   }
 }
 
-TEST_CASE("two requests that always come together are both found in the end") {
+TEST_CASE("two requests that always come together are both quarantined eventually") {
   QuarantineWorld world(7);
   for (uint64_t engine = 1; engine <= 5; ++engine) {
     world.pass(kBetween);
@@ -170,7 +173,7 @@
   CHECK(world.quarantinedAt(kVictim) == 7);
 }
 
-TEST_CASE("an end that comes after the verdict is explained by it") {
+TEST_CASE("a crash after the verdict is explained by it") {
   QuarantineWorld world(7);
   for (uint64_t engine = 1; engine <= 3; ++engine) {
     world.pass(kBetween);
@@ -187,7 +190,7 @@
   CHECK(world.quarantinedAt(kVictim) == 0);
 }
 
-TEST_CASE("evidence outlives the restart of a node that counts") {
+TEST_CASE("evidence survives the restart of any one node") {
   for (uint64_t restarted = 1; restarted <= 7; ++restarted) {
     QuarantineWorld world(7);
     world.pass(kBetween);
@@ -202,7 +205,7 @@
   }
 }
 
-TEST_CASE("nodes that are started in turn while the store is away learn what the others know") {
+TEST_CASE("nodes that restart in turn while the store is unavailable receive the verdict") {
   QuarantineWorld world(7);
   for (uint64_t engine = 1; engine <= 3; ++engine) {
     world.pass(kBetween);
@@ -217,7 +220,7 @@
   }
 }
 
-TEST_CASE("one node puts a verdict into the store, three others where it does not") {
+TEST_CASE("one node writes a verdict to the store, up to three others if it fails to") {
   QuarantineWorld world(7);
   for (uint64_t engine = 1; engine <= 3; ++engine) {
     world.pass(kBetween);
--- a/test/peers/quarantine_world.h
+++ b/test/peers/quarantine_world.h
@@ -1,5 +1,5 @@
 /// @file
-/// Several nodes that find requests which crash engines, for tests.
+/// Test fixture with several nodes that detect requests which crash engines.
 #pragma once
 
 #include <utility>
@@ -25,7 +25,7 @@
  public:
   using DirectoryWorld::DirectoryWorld;
 
-  /// An engine ends now, under these requests of these nodes, which began a moment ago.
+  /// Crashes an engine now while it runs the given (node, request) pairs, which began `ran` ago.
   void crash(uint64_t engine, const std::vector<std::pair<uint64_t, uint64_t>>& requests,
              std::chrono::milliseconds ran = std::chrono::milliseconds(100)) {
     for (const auto& [nodeId, fingerprint] : requests) {
@@ -41,7 +41,7 @@
       }
     }
   }
-  /// @return how many nodes would not send it.
+  /// @return number of nodes that have quarantined the request.
   size_t quarantinedAt(uint64_t fingerprint) {
     size_t count = 0;
     for (uint64_t id = 1; id <= size(); ++id) {
--- a/test/peers/state_mirror_test.cpp
+++ b/test/peers/state_mirror_test.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// What a mirror told its listeners.
+/// Notifications that a mirror sent to its listeners.
 struct Heard {
   std::vector<MirrorEntry> entries;
   int wholes = 0;
@@ -51,7 +51,7 @@
 
 }  // namespace
 
-TEST_CASE("changes are taken in order, known ones ignored, and a gap is told") {
+TEST_CASE("changes are applied in order, known ones are ignored, and gaps are reported") {
   Mirrored copy;
   CHECK(copy.apply(5, 6, {entry("a", 6)}) == MirrorOutcome::kGap);
   CHECK(copy.apply(0, 10, {entry("a", 3), entry("b", 9)}) == MirrorOutcome::kApplied);
@@ -63,7 +63,7 @@
   CHECK(copy.mirror.revision(Mirrored::kKind) == 13);
 }
 
-TEST_CASE("what one copy tells brings another to the same state, removals included") {
+TEST_CASE("the changes of one copy bring another to the same state, including removals") {
   Mirrored first;
   Mirrored second;
   first.apply(0, 10, {entry("a", 3), entry("b", 9)});
@@ -77,7 +77,7 @@
   CHECK(second.since(0)->toRevision == 14);
 }
 
-TEST_CASE("a copy older than the removals that are remembered takes the whole kind") {
+TEST_CASE("a copy older than the remembered removals receives the whole kind") {
   Mirrored copy;
   copy.apply(0, 10, {entry("a", 3)});
   copy.apply(10, 20, {entry("b", 15)});
@@ -86,7 +86,7 @@
   CHECK(copy.since(5)->entries.size() == 2);
 }
 
-TEST_CASE("a list read again tells only what differs") {
+TEST_CASE("a list that is read again notifies only of differences") {
   Mirrored copy;
   copy.mirror.applyList(Mirrored::kKind, 10, {entry("a", 3), entry("b", 9)});
   copy.mirror.applyList(Mirrored::kKind, 20, {entry("b", 9), entry("c", 18)});
@@ -97,7 +97,8 @@
   CHECK(copy.heard.entries[1].isGone);
 }
 
-TEST_CASE("a proof counts only for a copy that is complete up to it, and never gets older") {
+TEST_CASE(
+    "a confirmed read counts only for a copy that is complete up to it, and never gets older") {
   Mirrored copy;
   copy.apply(0, 10, {entry("a", 3)});
   copy.mirror.confirm(Mirrored::kKind, 11, at(100));
@@ -137,7 +138,7 @@
   }
 }
 
-TEST_CASE("a part that changes back is brought to copies that saw the change") {
+TEST_CASE("a part that changes back is sent to copies that saw the change") {
   Mirrored reader;
   reader.applyParts(0, 5, {entry("a", 5, "one")});
   Mirrored other;
@@ -147,7 +148,7 @@
   CHECK(other.partsSince(0)->entries[0].text == "one");
 }
 
-TEST_CASE("parts that are gone are told as gone") {
+TEST_CASE("removed parts are reported as gone") {
   Mirrored reader;
   reader.applyParts(0, 5, {entry("a", 5), entry("b", 5)});
   reader.applyParts(0, 6, {entry("b", 6)});
@@ -156,7 +157,7 @@
   CHECK(reader.partsSince(5)->entries.size() == 1);
 }
 
-TEST_CASE("a proof counts for the listener only once it was told what is proven") {
+TEST_CASE("a confirmed read counts only after the listener was notified of the revision") {
   std::vector<uint64_t> proven;
   StateMirror* told = nullptr;
   StateMirror mirror(
@@ -171,7 +172,7 @@
   CHECK(proven == std::vector<uint64_t>{5});
 }
 
-TEST_CASE("what the store holds after it came back from an old copy is newer than all before") {
+TEST_CASE("the contents of a store restored from an old copy are newer than all before") {
   Mirrored copy;
   copy.mirror.applyList(Mirrored::kKind, storeRevision(1, 50),
                         {entry("a", storeRevision(1, 3)), entry("b", storeRevision(1, 40)),
@@ -207,7 +208,7 @@
   }
 }
 
-TEST_CASE("an older version of an object in parts is not taken, whenever it was read") {
+TEST_CASE("an older version of an object in parts is never applied") {
   Mirrored copy;
   copy.applyParts(0, 24, {entry("row", 24)});
   CHECK(copy.applyParts(0, 22, {entry("row", 22, "older")}) == MirrorOutcome::kKnown);
