--- a/test/peers/false_blame_test.cpp
+++ b/test/peers/false_blame_test.cpp
@@ -127,7 +127,7 @@
                                       [&](const Run& run) { return run.engine != poison.engine; });
     there.insert(there.end(), split, runs_.end());
     runs_.erase(split, runs_.end());
-    // Nodes tell of it in any order.
+    // Nodes report the crash in any order.
     for (size_t index = there.size(); index > 1; --index) {
       std::swap(there[index - 1], there[random_.below(index)]);
     }
@@ -198,7 +198,9 @@
   MESSAGE(victims << " runs of others ended with an engine, " << blamed << " requests blamed");
 }
 
-TEST_CASE("nor where ends of engines show seconds later, at other times to each run") {
+TEST_CASE(
+    "no request is blamed if crashes are detected seconds later, at a different time for each "
+    "run") {
   size_t blamed = 0;
   size_t victims = 0;
   for (uint64_t seed = 1; seed <= 60; ++seed) {
--- a/test/peers/limit_directory_test.cpp
+++ b/test/peers/limit_directory_test.cpp
@@ -35,7 +35,7 @@
   return tenant;
 }
 
-/// The most that was admitted in any window.
+/// Measures the maximum that was admitted in any window.
 class WindowMeter {
  public:
   void add(Time now, double cost) {
@@ -65,7 +65,7 @@
   explicit Fleet(uint64_t nodes, uint64_t serving, uint64_t seed = 1)
       : world(nodes), servingNodes(serving), random(seed) {
     tick();
-    advance(std::chrono::seconds(14));  // Nodes are up before their callers come.
+    advance(std::chrono::seconds(14));  // Nodes are up before the first requests arrive.
     tick();
   }
 
@@ -143,7 +143,7 @@
 
 }  // namespace
 
-TEST_CASE("a tenant well under its limit in tokens is let pass") {
+TEST_CASE("a tenant well under its limit in tokens is admitted") {
   for (const uint64_t nodes : {7U, 79U, 300U}) {
     Fleet fleet(nodes, std::min<uint64_t>(nodes, 15));
     const gateway::Tenant tenant = tenantOf(kRate, kBurst);
@@ -219,7 +219,7 @@
   CHECK(fleet.admitted >= fleet.offered * 0.7);  // Each alone: half of its share, in lumps.
 }
 
-TEST_CASE("both sides of a cut together keep a limit, and serve what is usual") {
+TEST_CASE("both sides of a partition together stay within a limit and serve the usual load") {
   Fleet fleet(79, 15);
   const gateway::Tenant tenant = tenantOf(kRate, kBurst);
   fleet.offer(tenant, kRate * 0.56, std::chrono::seconds(9));
--- a/test/peers/named_versions_test.cpp
+++ b/test/peers/named_versions_test.cpp
@@ -1,6 +1,6 @@
 /// @file
-/// Tests of what nodes tell each other of named versions (src/peers/mirror_role.h): a version's
-/// bound goes on though the processes that saw it named end one after the other.
+/// Tests of the exchange of named versions between nodes (src/peers/mirror_role.h): the bound of a
+/// version continues even if the processes that saw it named end one after the other.
 #include <doctest/doctest.h>
 
 #include <deque>
@@ -15,7 +15,7 @@
   return Time(std::chrono::seconds(1000)) + std::chrono::milliseconds(milliseconds);
 }
 
-/// One of two nodes; what it sends waits in its box.
+/// One of two nodes; the messages that it sends are queued.
 struct Node : MessageSender {
   Node(uint64_t id, Time startedAt)
       : id(id),
@@ -73,7 +73,7 @@
 
 }  // namespace
 
-TEST_CASE("a node that was just started is told since when the versions that it found are named") {
+TEST_CASE("a started node learns since when the versions that it read have been named") {
   Node old(1, at(-60000));
   old.find(1, at(-60000));
   old.findNothingNewer(at(0));
@@ -86,7 +86,7 @@
 
   started.role.onTick(at(5100), started);
   old.hear(started, at(5110));
-  started.hear(old, at(5300));  // The way back took long.
+  started.hear(old, at(5300));  // The answer was delayed.
 
   CHECK(started.wanted.newest("m") == 3);
   CHECK(started.wanted.dueVersion("m", at(7900)) == 0);
@@ -94,7 +94,7 @@
   CHECK(started.wanted.dueVersion("m", at(10900)) == 2);
   CHECK(started.wanted.dueVersion("m", at(11000)) == 3);
 
-  SUBCASE("and stays with that whatever it is told later") {
+  SUBCASE("and keeps these times whatever it receives later") {
     started.role.onTick(at(6100), started);
     old.hear(started, at(6110));
     started.hear(old, at(7000));
@@ -102,7 +102,7 @@
   }
 }
 
-TEST_CASE("a version that comes as part of a whole list is news to a node that was there before") {
+TEST_CASE("a version received in a whole list is new to a node that was running before") {
   Node teller(1, at(5000));  // It was started a moment ago and knows the list only.
   teller.find(3, at(5050));
   Node old(2, at(-60000));
@@ -129,7 +129,7 @@
   reader.hear(other, at(30));
   reader.sent.clear();
 
-  SUBCASE("to a node that the store answers late") {
+  SUBCASE("at a node that the store answers late") {
     reader.find(2, at(5000));
     CHECK(reader.wanted.dueVersion("m", at(7900)) == 1);
     CHECK(reader.wanted.dueVersion("m", at(8000)) == 2);
@@ -142,7 +142,7 @@
     other.hear(reader, at(5000));
     CHECK(other.wanted.dueVersion("m", at(8000)) == 2);
 
-    SUBCASE("until it asks, and is told what another node knows") {
+    SUBCASE("until it asks and receives what another node knows") {
       other.role.onTick(at(5100), other);
       reader.hear(other, at(5110));
       other.hear(reader, at(5120));
