--- a/test/platform/engine_protocol_test.cpp
+++ b/test/platform/engine_protocol_test.cpp
@@ -32,7 +32,8 @@
 
 }  // namespace
 
-TEST_CASE("a back end is told its own id, the time left and the tenant, never the key") {
+TEST_CASE(
+    "a request to a back end carries its id, the remaining time and the tenant, but not the key") {
   Sent sent;
   sent.request.tenant = gateway::Tenant{"sese", false, 0};
   sent.request.key = "secret";
@@ -45,7 +46,7 @@
   CHECK_FALSE(head.has("Last-Event-Id"));
 }
 
-TEST_CASE("a scope is never named without the weights that it stands for") {
+TEST_CASE("a cache scope is sent only together with the version of its weights") {
   Sent sent;
   sent.plan.cacheScope = "shared.v3";
   sent.plan.weightsVersion = 3;
@@ -59,7 +60,7 @@
   CHECK(head.get("Last-Event-Id") == "12");
 }
 
-TEST_CASE("only the named words of a back end free a request to run elsewhere") {
+TEST_CASE("a request may run elsewhere only if the back end states that it did not run") {
   Sent sent;
   CHECK(sent.facts(503, {{"X-Request-Id", "r1"}, {"X-Not-Executed", "1"}}).didNotRun);
   CHECK(sent.facts(421, {{"X-Request-Id", "r1"}}).didNotRun);
@@ -70,7 +71,8 @@
   CHECK_FALSE(sent.facts(503, {{"X-Request-Id", "r0"}, {"X-Not-Executed", "1"}}).didNotRun);
 }
 
-TEST_CASE("an engine states a limit as a decimal number, once, in an answer of its own") {
+TEST_CASE(
+    "a limit is read from a single header with a decimal number in a response to our request") {
   using gateway::LimitMention;
   Sent sent;
   const auto mentionOf = [&](const std::string& text, int status = 200) {
@@ -90,14 +92,14 @@
       CHECK(facts.limit == doctest::Approx(limit));
     }
   }
-  SUBCASE("what is none states no limit and ends none") {
+  SUBCASE("an invalid number neither sets nor clears the limit") {
     const std::string huge(400, '9');
     for (const char* text : {"abc", "-1", "nan", "inf", "1e400", "1e1", "1,4", "", " ", "+1", "0x1",
                              ".5", "5.", "1.4 a second", "1.4, 1.4", huge.c_str()}) {
       CHECK_MESSAGE(mentionOf(text) == LimitMention::kUnreadable, text);
     }
   }
-  SUBCASE("twice") {
+  SUBCASE("a header that occurs twice is invalid") {
     Poco::Net::HTTPResponse answer;
     answer.set("X-Request-Id", "r1");
     answer.add("Server-Limit", "1.4");
@@ -105,25 +107,25 @@
     CHECK(EngineProtocol().readAnswer(sent.request, answer).limitMention ==
           LimitMention::kUnreadable);
   }
-  SUBCASE("an answer without it states that there is none") {
+  SUBCASE("a response without the header clears the limit") {
     CHECK(sent.facts(200, {{"X-Request-Id", "r1"}}).limitMention == LimitMention::kNone);
     CHECK(sent.facts(500, {{"X-Request-Id", "r1"}}).limitMention == LimitMention::kNone);
   }
-  SUBCASE("where it turns a request away it may state one, and ends none") {
+  SUBCASE("a rejection may set a limit but does not clear it") {
     const std::vector<std::pair<std::string, std::string>> away = {{"X-Request-Id", "r1"},
                                                                    {"X-Not-Executed", "1"}};
     CHECK(sent.facts(503, away).limitMention == LimitMention::kUntold);
     CHECK(sent.facts(503, {away[0], away[1], {"Server-Limit", "2"}}).limitMention ==
           LimitMention::kStated);
   }
-  SUBCASE("another incarnation, or an answer to another request, tells nothing") {
+  SUBCASE("a response from another incarnation or to another request is ignored") {
     CHECK(mentionOf("1.4", 421) == LimitMention::kUntold);
     CHECK(sent.facts(200, {{"X-Request-Id", "r2"}, {"Server-Limit", "1.4"}}).limitMention ==
           LimitMention::kUntold);
   }
 }
 
-TEST_CASE("an answer is ours only by its id") {
+TEST_CASE("a response is matched to its request by the request id") {
   Sent sent;
   CHECK(sent.facts(200, {{"X-Request-Id", "r1"}}).isOurs);
   CHECK_FALSE(sent.facts(200, {{"X-Request-Id", "r0"}}).isOurs);
@@ -131,7 +133,8 @@
   CHECK(sent.facts(200, {{"X-Request-Id", "r1"}, {"X-Weight-Versions", "4"}}).weightsVersion == 4);
 }
 
-TEST_CASE("an engine says that it leaves in answers of its own, with the one text for it") {
+TEST_CASE(
+    "an engine announces its shutdown with one exact header value in a response to our request") {
   Sent sent;
   const auto factsOf = [&](const std::string& text, int status = 200) {
     return sent.facts(status, {{"X-Request-Id", "r1"}, {"Server-Leaving", text}});
@@ -140,19 +143,19 @@
   CHECK(factsOf("1", 503).leaves);
   CHECK_FALSE(sent.facts(200, {{"X-Request-Id", "r1"}}).leaves);
   CHECK_FALSE(sent.facts(200, {{"X-Request-Id", "r1"}}).hasOddWithdrawal);
-  SUBCASE("other texts say nothing") {
+  SUBCASE("other values do not announce a shutdown") {
     for (const char* text : {"0", "", "true", "01", "1.0", "yes", "-1", "1, 1"}) {
       CHECK_MESSAGE(!factsOf(text).leaves, text);
       CHECK_MESSAGE(factsOf(text).hasOddWithdrawal, text);
     }
   }
-  SUBCASE("another incarnation, or an answer to another request, tells nothing") {
+  SUBCASE("a response from another incarnation or to another request is ignored") {
     CHECK_FALSE(factsOf("1", 421).leaves);
     CHECK_FALSE(sent.facts(200, {{"X-Request-Id", "r0"}, {"Server-Leaving", "1"}}).leaves);
   }
 }
 
-TEST_CASE("an engine asks for rest where it is unavailable, in seconds") {
+TEST_CASE("an unavailable engine asks for a pause with Retry-After in seconds") {
   Sent sent;
   const auto factsOf = [&](const std::string& text, int status = 503) {
     return sent.facts(status,
@@ -164,20 +167,20 @@
   CHECK((factsOf("99999999999999999999").rest == std::chrono::hours(1)));
   CHECK((sent.facts(503, {{"X-Request-Id", "r1"}, {"Retry-After", "2"}}).rest ==
          std::chrono::seconds(2)));
-  SUBCASE("other answers ask for none") {
+  SUBCASE("Retry-After is ignored with other statuses") {
     CHECK((factsOf("3", 200).rest == Duration(0)));
     CHECK((factsOf("3", 429).rest == Duration(0)));
     CHECK((factsOf("3", 421).rest == Duration(0)));
     CHECK((sent.facts(503, {{"X-Request-Id", "r0"}, {"Retry-After", "2"}}).rest == Duration(0)));
   }
-  SUBCASE("what is no number of seconds asks for none") {
+  SUBCASE("an invalid number of seconds asks for no pause") {
     for (const char* text : {"abc", "-1", "nan", "inf", "1e400", "1,4", "", " ", "+1", "0x1", ".5",
                              "5.", "Wed, 21 Oct 2026 07:28:00 GMT"}) {
       CHECK_MESSAGE((factsOf(text).rest == Duration(0)), text);
       CHECK_MESSAGE(factsOf(text).hasOddWithdrawal, text);
     }
   }
-  SUBCASE("twice") {
+  SUBCASE("a header that occurs twice is invalid") {
     Poco::Net::HTTPResponse answer(Poco::Net::HTTPResponse::HTTP_SERVICE_UNAVAILABLE);
     answer.set("X-Request-Id", "r1");
     answer.add("Retry-After", "3");
--- a/test/platform/ingress_test.cpp
+++ b/test/platform/ingress_test.cpp
@@ -1,6 +1,6 @@
 /// @file
-/// Tests of platform/ingress.h over loopback, before a scripted engine: what callers may send, what
-/// reaches engines, and what callers get.
+/// Tests of platform/ingress.h over loopback with a scripted engine: which requests are accepted,
+/// what is forwarded to engines, and what callers receive.
 #include "platform/ingress.h"
 
 #include <doctest/doctest.h>
@@ -16,7 +16,7 @@
 using gateway::test::say;
 using gateway::test::ScriptedBackend;
 
-/// Answers whole requests as an engine does, with the id that it was sent.
+/// Answers a complete request like an engine, echoing the request id.
 bool answerAsEngine(Poco::Net::StreamSocket& socket, const std::string& request) {
   const size_t start = request.find("X-Request-Id: ") + 14;
   const std::string id = request.substr(start, request.find('\r', start) - start);
@@ -26,13 +26,13 @@
 }
 
 constexpr size_t kMemoryLimit = 88000000;
-/// Some requests with the longest bodies that this world allows.
+/// Enough for a few requests with bodies of the maximum size in this fixture.
 constexpr size_t kHeldBytes = 5000;
-/// Above the high-water mark, and below the low one.
+/// Resident bytes above the high-water mark and below the low-water mark.
 constexpr size_t kNearLimit = 80000000;
 constexpr size_t kFarFromLimit = 40000000;
 
-/// The whole request path on loopback.
+/// The complete request path over loopback.
 class IngressWorld {
  public:
   explicit IngressWorld(Duration tableAge = Duration(0))
@@ -73,8 +73,8 @@
   }
   ~IngressWorld() { ingress.stopAccepting(); }
 
-  /// Sends bytes on a new connection and returns all that comes until the other side closes.
-  /// @param endsHere the caller closes its side at once: it sends no more, and waits for nothing.
+  /// Sends bytes on a new connection and returns everything received until the node closes it.
+  /// @param endsHere the caller half-closes the connection after sending.
   std::string exchange(const std::string& bytes, bool endsHere = false) {
     Poco::Net::StreamSocket socket;
     socket.connect(Poco::Net::SocketAddress(address.host, address.port));
@@ -94,7 +94,7 @@
     }
     return all;
   }
-  /// @return the request with a body, without the empty line after its header.
+  /// @return the start of a POST request, followed by `more`; the empty line is not added.
   static std::string head(const std::string& more, const std::string& path = "/a/x",
                           const std::string& key = "key") {
     return "POST " + path + " HTTP/1.1\r\nHost: h.example\r\nX-Request-Id: r1\r\nApi-Key: " + key +
@@ -138,7 +138,7 @@
 
 }  // namespace
 
-TEST_CASE("a request reaches the engine with the tenant's name and without the key") {
+TEST_CASE("a request is forwarded with the name of the tenant and without the key") {
   IngressWorld world;
   const std::string answer = world.exchange(
       IngressWorld::head("X-Tenant: forged\r\nX-Cache-Salt: forged\r\nX-Expect-Instance: forged\r\n"
@@ -157,7 +157,7 @@
   CHECK(sent.rfind("\r\n\r\nabc") != std::string::npos);
 }
 
-TEST_CASE("a body in chunks reaches the engine whole") {
+TEST_CASE("a chunked body is forwarded completely") {
   IngressWorld world;
   const std::string answer =
       world.exchange(IngressWorld::head("Connection: close\r\nTransfer-Encoding: chunked\r\n\r\n" +
@@ -166,7 +166,7 @@
   CHECK(world.engine.lastRequest().rfind("\r\n\r\nabcdefg") != std::string::npos);
 }
 
-TEST_CASE("messages that two readers could understand differently never reach an engine") {
+TEST_CASE("messages with ambiguous framing are never forwarded to an engine") {
   const std::string inner =
       "POST /a/x HTTP/1.1\r\nHost: h.example\r\nX-Request-Id: r2\r\nApi-Key: key\r\n"
       "Content-Length: 0\r\n\r\n";
@@ -191,7 +191,7 @@
   }
 }
 
-TEST_CASE("what is too large is refused by size") {
+TEST_CASE("too large headers and bodies are rejected with their own statuses") {
   IngressWorld world;
   CHECK(statusOf(world.exchange(IngressWorld::head("Content-Length: 1001\r\n\r\n"))) ==
         "HTTP/1.1 413");
@@ -203,8 +203,7 @@
   CHECK(world.engine.requests() == 0);
 }
 
-TEST_CASE(
-    "unknown keys and paths are denied while the table is proven new, and the connection kept") {
+TEST_CASE("unknown keys and paths are denied with a fresh table, and the connection is kept open") {
   IngressWorld world;
   const std::string answers =
       world.exchange(IngressWorld::head("Content-Length: 2\r\n\r\nab", "/a/x", "wrong") +
@@ -216,7 +215,7 @@
   CHECK(world.engine.requests() == 1);
 }
 
-TEST_CASE("with a table that may be old nothing is denied, and no key is taken as valid") {
+TEST_CASE("with a stale table no request is denied and no key is accepted") {
   IngressWorld world(std::chrono::seconds(5));
   for (const std::string& bytes : {IngressWorld::head("Content-Length: 0\r\n\r\n", "/a/x", "wrong"),
                                    IngressWorld::head("Content-Length: 0\r\n\r\n", "/b/x"),
@@ -228,7 +227,7 @@
   CHECK(world.engine.requests() == 0);
 }
 
-TEST_CASE("a stopping node says that the connection ends, then refuses with when to come back") {
+TEST_CASE("a stopping node announces the close of the connection, later rejects with Retry-After") {
   IngressWorld world;
   world.work.stop(world.clock.now());
   const std::string served = world.exchange(IngressWorld::head("Content-Length: 0\r\n\r\n"));
@@ -242,9 +241,9 @@
   CHECK(late.engine.requests() == 0);
 }
 
-TEST_CASE("what all callers make a node hold has one bound, beyond which requests are refused") {
+TEST_CASE("requests are rejected when all callers together exceed the limit of held bytes") {
   IngressWorld world;
-  SUBCASE("each gives back what it held") {
+  SUBCASE("each request releases its bytes") {
     std::string requests;
     for (int request = 0; request < 20; ++request) {
       requests += IngressWorld::head("Content-Length: 900\r\n\r\n" + std::string(900, 'x'));
@@ -254,7 +253,9 @@
     CHECK(answers.find("503") == std::string::npos);
     CHECK(world.engine.requests() == 21);
   }
-  SUBCASE("a body without room is refused before it is read, one that outgrows it midway") {
+  SUBCASE(
+      "a body over the limit is rejected before it is read, or while it is read if its length is "
+      "unknown") {
     gateway::HeldBytes others(world.heldBytes);
     REQUIRE(others.add(kHeldBytes - 500));
     const std::string answers =
@@ -273,7 +274,7 @@
   }
 }
 
-TEST_CASE("a caller that goes on sending after its refusal is cut off at last") {
+TEST_CASE("a caller that keeps sending after its rejection is disconnected eventually") {
   IngressWorld world;
   Poco::Net::StreamSocket socket;
   socket.connect(Poco::Net::SocketAddress(world.address.host, world.address.port));
@@ -285,15 +286,15 @@
       taken += static_cast<size_t>(socket.sendBytes(piece.data(), static_cast<int>(piece.size())));
     }
   } catch (const Poco::Exception&) {
-    // Reset by the node.
+    // The node reset the connection.
   }
   CHECK(taken < (size_t{32} << 20));
 }
 
-TEST_CASE("a node near its memory refuses what it has not begun, and keeps safe connections") {
+TEST_CASE("a node near its memory limit rejects new requests and keeps reusable connections open") {
   IngressWorld world;
   world.shedding.note(kNearLimit);
-  SUBCASE("small bodies are passed over, and the next request is understood") {
+  SUBCASE("small bodies are discarded and the next request is parsed") {
     const std::string answers = world.exchange(
         IngressWorld::head("Content-Length: 2\r\n\r\nab") +
         IngressWorld::head("Transfer-Encoding: chunked\r\n\r\n" + chunk("abc") + "0\r\n\r\n") +
@@ -309,13 +310,13 @@
     CHECK(refusals == 3);
     CHECK(answers.find("Connection: close") > answers.rfind("HTTP/1.1 503"));
   }
-  SUBCASE("a long body is refused before it is sent, and its connection ends") {
+  SUBCASE("a long body is rejected before it is read, and its connection is closed") {
     const std::string answer =
         world.exchange(IngressWorld::head("Content-Length: 4000000\r\n\r\n"));
     CHECK(statusOf(answer) == "HTTP/1.1 503");
     CHECK(answer.find("Connection: close\r\n") != std::string::npos);
   }
-  SUBCASE("a caller that waits to be told to go on sends no body") {
+  SUBCASE("a caller that waits for 100 Continue sends no body") {
     const std::string answer =
         world.exchange(IngressWorld::head("Expect: 100-continue\r\nContent-Length: 2\r\n\r\n"));
     CHECK(statusOf(answer) == "HTTP/1.1 503");
--- a/test/platform/mirror_decoder_test.cpp
+++ b/test/platform/mirror_decoder_test.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// Tests of platform/store_follower.h: what nodes are told of moves.
+/// Tests of MirrorDecoder in platform/store_follower.h: how mirror entries change the tables.
 #include <doctest/doctest.h>
 
 #include "platform/store_follower.h"
@@ -12,7 +12,7 @@
 using peers::MirrorEntry;
 using peers::MirrorKind;
 
-/// Tables that a decoder fills, with one engine.
+/// A decoder and the tables that it updates, with one engine.
 struct DecoderWorld {
   DecoderWorld() {
     BackendListing listing;
@@ -37,7 +37,8 @@
 
 }  // namespace
 
-TEST_CASE("others leave an engine alone while it is moved and believe no order before its engine") {
+TEST_CASE(
+    "an engine is avoided while it loads weights, and its version changes only when it says so") {
   DecoderWorld world;
   world.decoder.take(MirrorKind::kMoves, {MirrorEntry{"e", 7, false, "0"}}, false);
   CHECK(world.engineAfter(500).isAvoided);
@@ -45,14 +46,14 @@
   CHECK_FALSE(world.engineAfter(900).isAvoided);
 }
 
-TEST_CASE("a move that is told late counts from when it was ordered") {
+TEST_CASE("a move that is received late counts from the time of its order") {
   DecoderWorld world;
   world.decoder.take(MirrorKind::kMoves, {MirrorEntry{"e", 7, false, "600"}}, true);
   CHECK_FALSE(world.engineAfter(300).isAvoided);
   CHECK(world.engineAfter(50).isAvoided);
 }
 
-TEST_CASE("a version is dated by how far the store had come, not by when this node is told") {
+TEST_CASE("a desired version is dated by the store's revision, not by when this node receives it") {
   DecoderWorld world;
   const Time now = world.clock.now();
   world.revisionTimes.note({20, now - std::chrono::seconds(3)});
@@ -61,7 +62,7 @@
     const std::string text = R"({"model":"m","version":)" + std::to_string(version) + "}";
     world.decoder.take(MirrorKind::kWeights, {MirrorEntry{"m", revision, false, text}}, false);
   };
-  take(12, 1);  // It lay there before anything was known of the store.
+  take(12, 1);  // Written before this process knew any revision of the store.
   CHECK(world.wanted.youngVersions(now).empty());
   take(25, 2);
   take(31, 3);
@@ -70,7 +71,7 @@
   CHECK(world.wanted.youngVersions(now)[1].age == std::chrono::seconds(1));
 }
 
-TEST_CASE("quarantined requests are known from the store, and lifted when their object is gone") {
+TEST_CASE("quarantines are read from the store and lifted when their object is deleted") {
   DecoderWorld world;
   const auto take = [&world](const MirrorEntry& entry) {
     world.decoder.take(MirrorKind::kQuarantine, {entry}, false);
@@ -85,7 +86,7 @@
   CHECK_FALSE(world.quarantined.timeLeft(0xff, world.clock.now()));
 }
 
-TEST_CASE("entries of another writer name no back end, and the others hold") {
+TEST_CASE("invalid entries of other writers are skipped and do not affect other back ends") {
   DecoderWorld world;
   const std::string sound =
       R"({"service":"pool","addr":"10.1.1.1:80","zone":"z","slots":4,"state":"ready","born":1700000000000})";
@@ -113,7 +114,7 @@
   CHECK(world.backends.size() == 2);
 }
 
-TEST_CASE("an old move, and one that is no longer told, keep nobody away") {
+TEST_CASE("an old or deleted move does not make an engine avoided") {
   DecoderWorld world;
   world.decoder.take(MirrorKind::kMoves, {MirrorEntry{"e", 7, false, "5000"}}, true);
   CHECK_FALSE(world.engineAfter(0).isAvoided);
@@ -121,18 +122,18 @@
   CHECK_FALSE(world.engineAfter(0).isAvoided);
 }
 
-TEST_CASE("what the store lost is not taken for removed") {
+TEST_CASE("an object that the store lost is not treated as removed") {
   DecoderWorld world;
   MirrorEntry lost{"e", 9, true, "", true};
-  SUBCASE("a back end stays until it must have been written again") {
+  SUBCASE("a back end stays until it should have been written again") {
     world.decoder.take(MirrorKind::kBackends, {lost}, false);
     world.backends.forgetOld(world.clock.now() + std::chrono::milliseconds(2900));
     CHECK(world.backends.isUsable("e"));
-    SUBCASE("and is gone where it was not") {
+    SUBCASE("and is removed if it was not") {
       world.backends.forgetOld(world.clock.now() + std::chrono::seconds(3));
       CHECK(world.backends.size() == 0);
     }
-    SUBCASE("and stays where it was") {
+    SUBCASE("and stays if it was") {
       BackendListing again;
       again.id = "e";
       again.pool = "pool";
@@ -141,7 +142,7 @@
       CHECK(world.backends.size() == 1);
     }
   }
-  SUBCASE("a verdict on a request stays, and is written again") {
+  SUBCASE("a quarantine stays and is written again") {
     const uint64_t fingerprint = 0x5c1e07a291bd3f06;
     world.quarantined.add(quarantine::Quarantined{fingerprint, world.clock.now()},
                           world.clock.now());
--- a/test/platform/settings_file_test.cpp
+++ b/test/platform/settings_file_test.cpp
@@ -26,7 +26,7 @@
 
 }  // namespace
 
-TEST_CASE("the platform's settings are read, and fields of later times ignored") {
+TEST_CASE("the platform's settings are read and unknown keys are ignored") {
   const auto result = parsePlatformSettings(kGood + "some.later.field=1\nodd line\n");
   REQUIRE(isOk(result));
   const PlatformSettings& settings = valueOf(result);
@@ -40,7 +40,7 @@
   CHECK(settings.maxDescriptors == 4100);
 }
 
-TEST_CASE("a key that is needed and missing is told by its name") {
+TEST_CASE("an error names a missing required key") {
   for (const std::string key :
        {"node-name", "listen.front", "listen.readiness", "port-range", "platform.addr"}) {
     CAPTURE(key);
@@ -50,7 +50,7 @@
   CHECK(faultOf(without("bounds.grace-s")).empty());
 }
 
-TEST_CASE("a value that is no number or address is told by its key") {
+TEST_CASE("an error names the key of an invalid number or address") {
   CHECK(faultOf(without("bounds.grace-s") + "bounds.grace-s=soon\n").find("bounds.grace-s") !=
         std::string::npos);
   CHECK(faultOf(without("limits.max-fds") + "limits.max-fds=-4\n").find("limits.max-fds") !=
--- a/test/platform/store_client_test.cpp
+++ b/test/platform/store_client_test.cpp
@@ -19,7 +19,7 @@
                                              R"(,"at":)" + std::to_string(at) + "}");
 }
 
-/// Answers the first page, and the page after the entry "a".
+/// Serves the first page and the page after the entry "a".
 class PagedStore {
  public:
   PagedStore(uint64_t firstAt, uint64_t secondAt)
@@ -48,9 +48,9 @@
 
 }  // namespace
 
-TEST_CASE("a list of several pages is as new as its oldest page") {
+TEST_CASE("a list of several pages has the revision of its oldest page") {
   const SystemClock clock;
-  SUBCASE("where the store changed between pages") {
+  SUBCASE("if the store changed between pages") {
     PagedStore store(100, 103);
     StoreClient client(store.address(), clock);
     const Result<StoreList> list = client.list("servers", ListFreshness::kNewest);
@@ -61,7 +61,7 @@
     CHECK(store.asked()[0] == "GET /fernmoor/objects/servers");
     CHECK(store.asked()[1] == "GET /fernmoor/objects/servers?after=a");
   }
-  SUBCASE("where a later page is an older answer") {
+  SUBCASE("if a later page comes from a staler replica") {
     PagedStore store(100, 90);
     StoreClient client(store.address(), clock);
     const Result<StoreList> list = client.list("servers", ListFreshness::kMayBeStale);
@@ -75,7 +75,7 @@
 
 namespace {
 
-/// @return what a store client makes of that list.
+/// @return the list as a store client reads it.
 Result<RawStoreList> listed(const std::string& body) {
   const SystemClock clock;
   ScriptedBackend store(gateway::test::always(gateway::test::answer("200 OK", body)));
@@ -86,7 +86,8 @@
 
 }  // namespace
 
-TEST_CASE("of a list as text its revision is known apart from the rest, which stays the same") {
+TEST_CASE(
+    "the revision of a raw list is separate from its items, which compare equal if unchanged") {
   const Result<RawStoreList> first = listed(kItems + R"("more":false,"at":530})");
   const Result<RawStoreList> second = listed(kItems + R"("more":false,"at": 531 })" + "\n");
   REQUIRE(isOk(first));
@@ -101,7 +102,7 @@
   CHECK(errorOf(findObject(valueOf(first), "other")).kind == ErrorKind::kNotFound);
 }
 
-TEST_CASE("a list that does not end with its revision is read all the same") {
+TEST_CASE("a list whose revision is not its last member is read too") {
   const Result<RawStoreList> list = listed(R"({"at":530,)" + kItems.substr(1) + R"("more":false})");
   REQUIRE(isOk(list));
   CHECK(valueOf(list).revision == 530);
@@ -111,7 +112,7 @@
 
 namespace {
 
-/// Answers all calls alike, in the era that the test sets.
+/// Gives the same response to all calls, in the era that the test sets.
 class EraStore {
  public:
   SocketAddress address() const { return backend_.address(); }
@@ -138,7 +139,7 @@
 
 }  // namespace
 
-TEST_CASE("revisions bear the era that the answer names, and one of a later era is the newer one") {
+TEST_CASE("revisions include the era of the response, and a later era makes a revision newer") {
   const SystemClock clock;
   EraStore store;
   StoreClient client(store.address(), clock);
@@ -148,18 +149,18 @@
   CHECK(client.era().number == 4);
   CHECK(valueOf(client.list("servers", ListFreshness::kNewest)).items[0].revision ==
         storeRevision(4, 7));
-  SUBCASE("a refusal names it too") {
+  SUBCASE("an error response names the era too") {
     store.answers("503 Away", "", "5");
     CHECK_FALSE(isOk(client.listRaw("config")));
     CHECK(client.era().number == 5);
   }
-  SUBCASE("a watch from a revision of a former era has lost its history") {
+  SUBCASE("a watch from a revision of an earlier era reports lost history") {
     store.answers("200 OK", R"({"events":[],"at":35})", "5");
     CHECK(errorOf(client.watch("servers", before, Duration(0))).kind == ErrorKind::kConflict);
     CHECK(isOk(client.watch("servers", storeRevision(5, 30), Duration(0))));
     CHECK(store.lastCall().find("watch=30&") != std::string::npos);
   }
-  SUBCASE("an era that is no number fails the call") {
+  SUBCASE("an invalid era fails the call") {
     for (const char* era : {"abc", "-1", "", "5.0", "9999999", "5 6"}) {
       store.answers("200 OK", kList, era);
       CHECK_MESSAGE(errorOf(client.listRaw("config")).kind == ErrorKind::kUnavailable, era);
@@ -168,14 +169,14 @@
   }
 }
 
-TEST_CASE("a write that rests on a revision of a former era is not made") {
+TEST_CASE("a write conditional on a revision of an earlier era is not applied") {
   const SystemClock clock;
   EraStore store;
   StoreClient client(store.address(), clock);
   const Poco::JSON::Object::Ptr spec(new Poco::JSON::Object);
   store.answers("200 OK", kList, "4");
   REQUIRE(isOk(client.listRaw("config")));
-  SUBCASE("where the new one is known, it is a conflict") {
+  SUBCASE("it is a conflict if the new era is known") {
     store.answers("200 OK", kWritten, "5");
     REQUIRE(isOk(client.get("moves", "a")));
     const Result<WriteOutcome> outcome = client.replace("moves", "a", storeRevision(4, 31), spec);
@@ -183,13 +184,13 @@
     CHECK(std::get<WriteConflict>(valueOf(outcome)).current.revision == storeRevision(5, 31));
     CHECK(store.lastCall().rfind("GET ", 0) == 0);
   }
-  SUBCASE("where the answer names it first, nobody may rely on it") {
+  SUBCASE("its outcome is unknown if its own response is the first to name the new era") {
     store.answers("200 OK", kWritten, "5");
     CHECK(errorOf(client.replace("moves", "a", storeRevision(4, 31), spec)).kind ==
           ErrorKind::kUnavailable);
     CHECK(isOk(client.create("moves", "b", spec)));
   }
-  SUBCASE("within one era it is done") {
+  SUBCASE("it is applied within one era") {
     store.answers("200 OK", kWritten, "4");
     CHECK(std::get<WriteDone>(valueOf(client.replace("moves", "a", storeRevision(4, 30), spec)))
               .revision == storeRevision(4, 31));
--- a/test/platform/stored_ledger_test.cpp
+++ b/test/platform/stored_ledger_test.cpp
@@ -1,6 +1,6 @@
 /// @file
-/// Tests of platform/engine_protocol.h: the ledger of moves in a store that came back from an old
-/// copy.
+/// Tests of StoredLedger in platform/engine_protocol.h: the ledger of moves after the store was
+/// restored from an old copy.
 #include <doctest/doctest.h>
 
 #include "common/store_revision.h"
@@ -15,7 +15,7 @@
 
 const std::string kWritten = R"({"meta":{"name":"ledger","rev":31},"spec":{"holder":"n1"}})";
 
-/// A store of one era; it has lost the ledger, or holds it.
+/// A store in one era that either holds the ledger or has lost it.
 struct LedgerWorld {
   LedgerWorld() { REQUIRE(isOk(ledger.read())); }
 
@@ -43,14 +43,15 @@
 
 }  // namespace
 
-TEST_CASE("a ledger that the store lost is found to be none, and is written anew") {
+TEST_CASE("a ledger that the store lost is read as empty and is written again") {
   LedgerWorld world;
   weights::LedgerView view;
   REQUIRE(view.take(valueOf(world.ledger.read()), world.clock.now()));
   CHECK(view.holder() == "n1");
   world.era.number = 5;
   world.holdsLedger = false;
-  REQUIRE_FALSE(isOk(world.store.get("weight-moves", "ledger")));  // It names the next era.
+  REQUIRE_FALSE(
+      isOk(world.store.get("weight-moves", "ledger")));  // The response names the next era.
 
   const Result<weights::LedgerOutcome> refused = world.ledger.write(view.seen().ledger);
   REQUIRE(isOk(refused));
--- a/test/platform/table_decoder_test.cpp
+++ b/test/platform/table_decoder_test.cpp
@@ -34,7 +34,7 @@
 
 }  // namespace
 
-TEST_CASE("the operator's configuration becomes rows, pools, tenants and limits") {
+TEST_CASE("the operators' configuration is decoded into rows, pools, tenants and limits") {
   const auto result = decode(kConfiguration);
   REQUIRE(isOk(result));
   const gateway::TrafficTable& table = *valueOf(result);
@@ -58,13 +58,13 @@
   CHECK(table.limits.maxHeaderBytes == 1000);
 }
 
-TEST_CASE("without tenants no request needs a key") {
+TEST_CASE("no request needs a key if there is no list of tenants") {
   const auto result = decode(R"({"version":1,"routes":[],"services":[]})");
   REQUIRE(isOk(result));
   CHECK_FALSE(valueOf(result)->hasTenants);
 }
 
-TEST_CASE("a configuration that cannot be understood is refused as a whole") {
+TEST_CASE("an invalid configuration is rejected as a whole") {
   CHECK_FALSE(isOk(decode(R"({"version":1,"routes":[{"name":"r"}]})")));
   CHECK_FALSE(isOk(decode(R"({"version":1,"tenants":[{"name":"t","api-keys":[{"x":1}]}]})")));
 }
@@ -86,7 +86,7 @@
   CHECK(valueOf(result)->findTenant("m")->limits.ratePerSecond == 0);
 }
 
-TEST_CASE("a limit that cannot be read is an error that names the field and what to write") {
+TEST_CASE("the error for an invalid limit names the field and the valid values") {
   const auto faultOf = [](const std::string& limit) {
     const auto result =
         decode(R"({"version":3,"tenants":[{"name":"t","api-keys":["k"],)" + limit + "}]}");
@@ -101,7 +101,7 @@
   CHECK(faultOf(R"("unit":"bytes")").find(R"("requests" or "tokens")") != std::string::npos);
 }
 
-TEST_CASE("entries of back ends are read, those without an address left out") {
+TEST_CASE("entries of back ends are decoded, those without an address are skipped") {
   const auto json = parseJsonObject(
       R"({"service":"s1","addr":"10.1.1.1:80","zone":"z","slots":64,"state":"draining",)"
       R"("models":[{"name":"m","version":3,"adapters":[]}],"seq":4})");
@@ -113,7 +113,7 @@
   CHECK_FALSE(decodeBackend("i-2", *valueOf(parseJsonObject("{}"))).has_value());
 }
 
-TEST_CASE("the ledger of moves keeps its ages through the store") {
+TEST_CASE("the ages of moves survive encoding and decoding of the ledger") {
   const Time written(std::chrono::seconds(100));
   weights::Ledger ledger;
   ledger.holder = "n1";
--- a/test/platform/table_parts_test.cpp
+++ b/test/platform/table_parts_test.cpp
@@ -1,6 +1,6 @@
 /// @file
-/// Tests of platform/table_entries.h and platform/table_parts.h: a table taken apart, and made of
-/// its parts again.
+/// Tests of platform/table_entries.h and platform/table_parts.h: splitting a table into entries and
+/// building it from them.
 #include "platform/table_parts.h"
 
 #include <doctest/doctest.h>
@@ -44,7 +44,7 @@
   REQUIRE(entries.size() == 4);
   CHECK(entries[0].name == kTableHead);
 
-  SUBCASE("so that another version differs in its head and in what changed") {
+  SUBCASE("a new version differs only in the head and in the changed entries") {
     const std::vector<MirrorEntry> next =
         entriesOf(table(2, row("r1", "/a/", "other") + "," + row("r2", "/b/", "s")));
     size_t differing = 0;
@@ -53,14 +53,14 @@
     }
     CHECK(differing == 2);
   }
-  SUBCASE("and rows of one host and prefix stand together, the first of which holds") {
+  SUBCASE("rows of one host and prefix share an entry, and the first of them applies") {
     TableParts parts;
     parts.take(entriesOf(table(1, row("r1", "/a/", "s") + "," + row("r2", "/a/", "s"))), true);
     CHECK(built(parts)->findRow("h.example", "/a/")->name == "r1");
   }
 }
 
-TEST_CASE("a new version shares with the former one what did not change") {
+TEST_CASE("a new version shares unchanged parts with the previous one") {
   TableParts parts;
   parts.take(entriesOf(table(1, row("r1", "/a/", "s") + "," + row("r2", "/b/", "s"))), true);
   const gateway::TrafficTablePtr before = built(parts);
@@ -74,14 +74,15 @@
   CHECK(after->findRow("h.example", "/b/") == before->findRow("h.example", "/b/"));
   CHECK(after->findTenant("k")->limits.rowVersion == 2);
 
-  SUBCASE("and lacks what is gone") {
+  SUBCASE("removed entries are absent") {
     parts.take({MirrorEntry{next[1].name, 3, true, ""}}, false);
     CHECK(built(parts)->findRow("h.example", "/a/") == nullptr);
     CHECK(built(parts)->rowCount() == 1);
   }
 }
 
-TEST_CASE("while a part can't be understood there is no table, and then there is again") {
+TEST_CASE(
+    "no table is built while a part is invalid, and it is built again once the part is valid") {
   TableParts parts;
   parts.take(entriesOf(table(1, row("r1", "/a/", "s"))), true);
   const std::vector<MirrorEntry> good = entriesOf(table(1, row("r1", "/a/", "s")));
--- a/test/platform/table_spread_test.cpp
+++ b/test/platform/table_spread_test.cpp
@@ -1,14 +1,14 @@
 /// @file
-/// Tests of how a change of the operators' table spreads over narrow links
-/// (platform/table_entries.h, src/peers/mirror_role.h, src/wire/large_message_queue.h together, in
-/// virtual time).
+/// Tests how a change of the operators' table spreads between nodes over narrow links. Combines
+/// platform/table_entries.h, src/peers/mirror_role.h and src/wire/large_message_queue.h in virtual
+/// time.
 ///
-/// What users saw: seconds after a table of 1,400 rows more was written, processes on machines of
-/// 88 MB and 10 Mbit/s ended over their memory, one after the other, and cut what they answered.
-/// The order of events: the readers pass the table on; it is one object, so each node asks for all
-/// of it and asks again, here and elsewhere, before an answer can have come over such a link; each
-/// of these answers is queued whole. What was measured: one growth, 47.5 MB at the peak; two, and a
-/// series of changes after them, 89.8 MB and 20 processes ended.
+/// Guards against nodes running out of memory when the table grows. After 1,400 rows were added,
+/// processes on machines with 88 MB and 10 Mbit/s were killed one after the other and cut their
+/// responses. The table was sent as one object: each node requested all of it, and requested it
+/// again from the same and other nodes before a response could arrive over such a link, and every
+/// response was queued in full. Peak memory was 47.5 MB after one growth; after two growths and a
+/// series of changes it was 89.8 MB, and 20 processes were killed.
 #include <doctest/doctest.h>
 
 #include <algorithm>
@@ -31,7 +31,7 @@
 
 using peers::MirrorKind;
 
-constexpr double kLinkBytesPerSecond = 1.25e6;  ///< 10 Mbit/s, as on the machines that ended.
+constexpr double kLinkBytesPerSecond = 1.25e6;  ///< 10 Mbit/s, as on the machines above.
 constexpr Duration kStep{10000};
 constexpr Duration kTick{100000};
 constexpr Duration kReadInterval{600000};
@@ -39,11 +39,12 @@
 constexpr uint64_t kNodes = 79;
 constexpr size_t kFirstRows = 400;
 constexpr size_t kGrowth = 1400;
-/// A change is in force everywhere after this, as the users' settings ask.
+/// A change must be in force on all nodes within this, as the users' settings require.
 constexpr Duration kInForceBound{3000000};
-/// For control a node may take 32 MB in all; what waits for others is a quarter of that at most.
+/// Limit of bytes queued for other nodes: a quarter of the 32 MB that a node may use for control
+/// traffic.
 constexpr size_t kMostWaiting = 8000000;
-/// For control a node may send 22 KB a second, in the mean.
+/// Limit of the mean control traffic that a node sends: 22 KB per second.
 constexpr double kControlBytesPerSecond = 22000;
 constexpr Duration kStormPause{300000};
 
@@ -51,7 +52,7 @@
   return fromSeconds(static_cast<double>(bytes) / kLinkBytesPerSecond);
 }
 
-/// Names have no order in them, as those of the users' tables.
+/// Names in no particular order, as in the users' tables.
 std::string nameOf(size_t row) {
   std::ostringstream out;
   out << std::hex << stableHash(std::to_string(row));
@@ -73,7 +74,7 @@
   return StoreObject{"main", revision, valueOf(parseJsonObject(out.str()))};
 }
 
-/// Nodes with a link of their own each, before a store that serves all of them.
+/// Nodes with one link each, and a store that serves all of them.
 class LinkWorld {
  public:
   LinkWorld() {
@@ -88,7 +89,7 @@
                        .emplace(std::piecewise_construct, std::forward_as_tuple(id),
                                 std::forward_as_tuple(NodeId(id), *this))
                        .first->second;
-      // Readers don't read at the same moments, so that each sees other versions.
+      // Readers poll at different times, so that they see different versions.
       node.nextReadAt = now_ + (kReadInterval * id / kNodes) / kStep * kStep;
     }
     for (auto& [id, node] : nodes_) {
@@ -111,14 +112,14 @@
       step();
     }
   }
-  /// @return how long after the newest write its table was in force on all nodes; nothing if it is
-  ///         not on some.
+  /// @return the time from the latest write until its table was in force on all nodes; nothing if
+  ///         it is not in force on all of them.
   std::optional<Duration> inForceAfter() const {
     return inForceAt_ ? std::optional(*inForceAt_ - writtenAt_) : std::nullopt;
   }
   size_t mostWaiting() const { return mostWaiting_; }
   size_t dropped() const { return dropped_; }
-  /// Of all nodes in the mean, since the world began.
+  /// Mean over all nodes since the start of the test.
   double bytesSentPerSecond() const {
     return static_cast<double>(bytesSent_) / kNodes / toSeconds(now_ - startedAt_);
   }
@@ -149,9 +150,9 @@
     peers::MirrorRole role;
     LargeMessageQueue queue{static_cast<size_t>(Knobs().peerQueueBytes)};
     std::optional<LargeMessage> sending;
-    Time sentAt;      ///< When `sending` has left.
-    Time linkFreeAt;  ///< When the last byte that comes here now has come.
-    Time nextReadAt;  ///< When the node reads the store next, if it must.
+    Time sentAt;      ///< When `sending` has been sent completely.
+    Time linkFreeAt;  ///< When the last byte in transit to this node arrives.
+    Time nextReadAt;  ///< Time of the next read of the store, if the node is a reader.
     std::optional<StoreObject> reading;
     Time readStartedAt;
   };
@@ -184,7 +185,7 @@
       node.sentAt = now_ + (node.sending ? linkTime(node.sending->bytes.size()) : Duration(0));
     }
   }
-  /// The store's answer comes over the same link.
+  /// The response of the store uses the same link.
   void readStore(Node& node) {
     if (node.reading && now_ >= node.nextReadAt) {
       const StoreObject object = *std::exchange(node.reading, std::nullopt);
@@ -258,7 +259,7 @@
   world.run(std::chrono::seconds(6));
   REQUIRE(world.inForceAfter());
 
-  SUBCASE("in time, and little waits for other nodes meanwhile") {
+  SUBCASE("within the bound, with few bytes queued for other nodes") {
     world.write(kFirstRows + kGrowth);
     world.run(std::chrono::seconds(8));
     REQUIRE(world.inForceAfter());
@@ -267,7 +268,7 @@
     CHECK(world.dropped() == 0);
     CHECK(world.bytesSentPerSecond() <= kControlBytesPerSecond);
   }
-  SUBCASE("also while it is changed row by row in quick succession") {
+  SUBCASE("while single rows are changed in quick succession") {
     world.write(kFirstRows + kGrowth);
     for (size_t change = 1; change <= 20; ++change) {
       world.run(kStormPause);
@@ -279,7 +280,7 @@
     CHECK(world.dropped() == 0);
     CHECK(world.bytesSentPerSecond() <= kControlBytesPerSecond);
   }
-  SUBCASE("and grows again, and is changed row by row, each time in time") {
+  SUBCASE("when it grows again and single rows are changed, within the bound each time") {
     world.write(kFirstRows + kGrowth);
     world.run(std::chrono::seconds(4));
     world.write(kFirstRows + 2 * kGrowth);
