--- a/test/platform_soak/engines.py
+++ b/test/platform_soak/engines.py
@@ -1,19 +1,19 @@
-"""Stand-ins of the engines behind the users' platform: they run requests, stream events, take orders
-for new weights, and remember all that they saw for the judge. An engine runs as many requests as it has
-slots; the others wait in its queue. An engine of a model reads the prompts of its requests one after the other; a request
-begins when its own is read, with its first event. An order for new weights turns away what has not begun, and what has not
-begun is dropped when its connection closes. An engine may read slowly, or hang: it takes requests, does and says
-nothing for a while, and then goes on with what it holds. Faults of an engine: crash (its port is
-closed and its connections are reset), lost (it runs a request and resets), broken (it breaks off in
-the middle), error (500), busy (it turns requests away), stubborn (it takes no orders),
-late (it leaves orders unanswered and carries them out some time later).
-A request whose body the ledger holds as poison crashes each engine that begins to run it; the engine's entry
-stays in the store for a while, and the engine comes back, every other time under the id that it had. How it
-ends is the ledger's `ending`: its port closes before its connections are reset ("closed"), some time after
-that ("closes late"), or nothing is said or reset until it is back ("silent").
-An engine may state in its answers how many requests a second it takes from all gateways together; it takes
-more all the same, as the judge counts what comes. It may say in them that it leaves, whatever its entry in the
-store says, and it may turn requests away and ask for rest.
+"""Simulates the engines behind the users' platform: they run requests, stream events, accept orders for new
+weights, and record everything they see for the judge. An engine runs as many requests as it has slots;
+further ones are queued. An engine of a model reads the prompts of its requests sequentially; a request begins,
+with its first event, when its prompt is read. An order for new weights rejects all requests that have not
+begun; a request that has not begun is also dropped when its connection closes. An engine may read slowly, or
+hang: it accepts requests, does and sends nothing for a while, then continues with its queue.
+Faults of an engine: crash (its port is closed and its connections are reset), lost (it runs a request and
+resets the connection), broken (it cuts a response in the middle), error (500), busy (it rejects requests),
+stubborn (it rejects orders), late (it does not answer orders and executes them some time later).
+A request whose body the ledger lists as poison crashes each engine that begins to run it. The engine's entry
+stays in the store for a while and the engine restarts, every other time under its former id. How it crashes is
+the ledger's `ending`: its port closes before its connections are reset ("closed"), some time after that
+("closes late"), or nothing is sent or reset until it is back ("silent").
+An engine may state in its responses how many requests per second it accepts from all gateways together; it
+accepts more than that, since the judge counts the arrivals. It may announce its shutdown in them, whatever its
+entry in the store says, and it may reject requests with a Retry-After.
 """
 import collections
 import http.server
@@ -30,24 +30,24 @@
 LATE_SECONDS = 1.5
 SLOTS = 16
 READ_TOKENS_PER_SECOND = 50_000
-# How often a request that waits looks whether its caller left, an order came or its turn is there.
+# Interval at which a queued request checks whether its caller left, an order arrived or it may start.
 LOOK_SECONDS = 0.01
-# From the beginning of a poison request's run to the end of its engine, and until that is back.
+# Time from the start of a poison request to the crash of its engine, and until the engine is back.
 POISON_SECONDS = 0.08
 BACK_SECONDS = 2.0
-POLL_SECONDS = 0.05  # A crash closes the port within this.
-# An engine that closes its port late does so this long after its connections were reset.
+POLL_SECONDS = 0.05  # A crash closes the port within this time.
+# An engine that "closes late" closes its port this long after its connections were reset.
 PORT_SECONDS = 0.15
-# An entry of an engine that says nothing any more stays in the store for so long.
+# How long the entry of an engine without heartbeats stays in the store.
 ENTRY_SECONDS = 1.5
 
 
 class CallerLeft(OSError):
-    """The connection of a request that has not begun was closed."""
+    """The caller closed the connection before its request began."""
 
 
 class Ledger:
-    """What all engines saw; thread-safe."""
+    """Record of what all engines saw. Thread-safe."""
 
     def __init__(self):
         self.lock = threading.Lock()
@@ -77,7 +77,7 @@
             entries.append(dict(entry, at=time.monotonic()))
 
     def crash(self, body, engine):
-        """Returns whether it is the first crash of this life."""
+        """Returns whether it is the first crash of this incarnation."""
         with self.lock:
             if engine.crashed:
                 return False
@@ -87,7 +87,7 @@
 
 
 class Engine:
-    """One life of an engine."""
+    """One incarnation of an engine."""
 
     def __init__(self, number, life, service, store, ledger, host, version, model, former_id=None):
         self.id = former_id or f"i-{number}-{life}"
--- a/test/platform_soak/hosts.py
+++ b/test/platform_soak/hosts.py
@@ -1,12 +1,12 @@
-"""Loopback addresses of a run's own: runs side by side, and processes that a run left behind, must
-not reach each other.
+"""Allocates loopback addresses for a run, so that concurrent runs, and processes left over from earlier
+runs, do not reach each other.
 """
 import os
 import socket
 
-CLAIM_PORT = 1099  # Outside the range that the kernel gives to connections.
-# Of each node, on its own address, and of the detours between nodes. Outside that range too: the store and
-# the links listen on the nodes' addresses at ports that the kernel gives.
+CLAIM_PORT = 1099  # Outside the kernel's ephemeral port range.
+# Ports of each node on its own address, and of the proxies between nodes. Also outside the ephemeral range,
+# since the store and the links listen on the nodes' addresses at ephemeral ports.
 NODE_PORTS = {"front": 10001, "ready": 10002, "peers": 10003, "metrics": 10004}
 FIRST_DETOUR_PORT = 10100
 FIRST_NODE = 20
@@ -14,7 +14,7 @@
 
 
 def is_used(net):
-    """Whether a socket is still bound in the net."""
+    """Returns whether any socket is still bound to an address in the net."""
     prefix = net + "."
     for path in ("/proc/net/tcp", "/proc/net/udp"):
         with open(path) as table:
@@ -26,8 +26,8 @@
 
 
 def claim_net(start=None):
-    """Returns (net, the socket that holds it): a free 127.x.y of this process, tried from its
-    process id on."""
+    """Claims a free net 127.x.y, trying candidates from the process id upwards.
+    Returns (net, the socket that holds the claim)."""
     first = os.getpid() if start is None else start
     for step in range(NETS):
         number = first + step * 31
@@ -38,7 +38,7 @@
                 holder.bind((net + ".1", CLAIM_PORT))
                 return net, holder
         except OSError:
-            pass  # Another run holds it.
+            pass  # Claimed by another run.
         holder.close()
     raise RuntimeError("no free loopback net of 254 that were tried; end runs that were left")
 
--- a/test/platform_soak/judge.py
+++ b/test/platform_soak/judge.py
@@ -1,5 +1,5 @@
-"""Judges what callers and engines of a soak saw, by the users' rules that need no clock beyond the
-bounds that they name. Each check returns the list of its faults.
+"""Checks what callers and engines recorded during a soak against the users' rules that can be judged
+without timing other than the bounds they state. Each check returns a list of violations.
 """
 import collections
 import math
@@ -10,19 +10,21 @@
 VERSION_SECONDS = 8.0
 CONTACT_SECONDS = 3.0
 CRASHES, LATE_SENDS = 3, 3
-MEGABYTE = 1e6  # As the users' pages count it.
-# A process that was told to stop may end while a request reaches it.
+MEGABYTE = 1e6  # The users specify memory in decimal megabytes.
+# Tolerance around the exit of a stopping process, which may exit while a request reaches it.
 END_SECONDS = 0.2
-# Of limits that engines state: the window, what is allowed in it, and how long a node is told before it counts.
+# Limits stated by engines: the window, the requests allowed in it (factor and slack), and how long a limit
+# must have been stated before it is enforced.
 LIMIT_WINDOW_SECONDS, LIMIT_FACTOR, LIMIT_SLACK, LIMIT_TOLD_SECONDS = 4.0, 1.5, 5, 0.5
-# Of engines that say that they leave, and of changes of the table: the bound from then on.
+# Bounds for draining engines and for table changes, from the time of the announcement or change.
 DRAIN_SECONDS, CONFIG_SECONDS = 2.0, 2.0
-# Of rests that engines ask for: when one begins to count after its answer, and what may still come in it.
+# Pauses requested by engines (Retry-After): when one takes effect after its response, and how many requests
+# may still arrive during it.
 REST_TOLD_SECONDS, REST_SENDS = 0.5, 2
 
 
 def judge(calls, runs, orders, world):
-    """calls: what callers asked and got; runs, orders: what engines saw. Returns {rule: faults}."""
+    """calls: requests and responses of callers; runs, orders: as recorded by engines. Returns {rule: violations}."""
     by_id = collections.defaultdict(list)
     for run in runs:
         by_id[run["id"]].append(run)
@@ -81,7 +83,7 @@
 
 
 def order(calls):
-    """Events come in order without gaps; a stream that ends as complete has them all."""
+    """Events arrive in order without gaps; a stream that ends as complete contains all of them."""
     faults = []
     for call in calls:
         if not call["kind"].startswith("stream") or call["status"] != 200:
@@ -122,7 +124,7 @@
 
 
 def revoked(runs, asked, world):
-    """No request sent later than the bound after its key was taken away runs."""
+    """No request runs that was sent later than the bound after its key was revoked."""
     faults = []
     for run in runs:
         call = asked.get(run["id"])
@@ -135,7 +137,7 @@
 
 
 def behind(calls, world):
-    """A row that was added and not taken away is known to nodes in touch within its bound."""
+    """A row that was added and not removed is known to connected nodes within the bound."""
     faults = []
     for call in calls:
         acked = world["added"].get(call["path"].split("/")[1])
@@ -148,8 +150,8 @@
 
 
 def drained(asked, world):
-    """Nothing that a node in touch sends reaches an engine later than the bound after its entry said that it
-    leaves."""
+    """No request of a connected node reaches an engine later than the bound after the engine's entry in the
+    store said that it is draining."""
     left = {}
     for entry in world["left"]:
         left.setdefault(entry["life"], entry["at"])
@@ -165,7 +167,7 @@
 
 
 def wall(runs, world):
-    """Requests of an isolated tenant share a scope with nobody else's."""
+    """Requests of an isolated tenant do not share a cache scope with other tenants."""
     tenants = collections.defaultdict(set)
     for run in runs:
         if run["salt"]:
@@ -184,7 +186,7 @@
 
 
 def calm_since(world, since, until):
-    """Since when, not before `since`, the store was stable up to `until`; None: it was not."""
+    """Returns the time, `since` or later, from which the store was stable until `until`; None if it was not."""
     for start, end in world["unstable"]:
         if start <= until and end + CONTACT_SECONDS > since:
             if end + CONTACT_SECONDS >= until:
@@ -194,13 +196,13 @@
 
 
 def in_touch(world, node, moment):
-    """Whether nothing struck the node in the time that it needs to be held to bounds again."""
+    """Whether no fault hit the node within CONTACT_SECONDS before the moment, so that the bounds apply to it."""
     return not any(start <= moment and end + CONTACT_SECONDS > moment
                    for start, end in world["struck"].get(node, ()))
 
 
 def version(runs, asked, world):
-    """No request that a node in touch sent begins on old weights past the bound of newer ones."""
+    """No request of a connected node starts on old weights later than the bound for newer ones."""
     faults = []
     for run in runs:
         newer = [acked for number, acked in world["named"] if number > run["version"]]
@@ -216,17 +218,17 @@
 
 
 def stretched(world):
-    """No node that is in touch takes a store for away that is sound, and holds requests to longer bounds."""
+    """No connected node treats a healthy store as unavailable and extends the bounds for its requests."""
     return [f"node {node} took the store for away" for node, moments in world["stretched"].items()
             for moment in moments if in_touch(world, node, moment)
             and calm_since(world, moment - CONTACT_SECONDS, moment) is not None]
 
 
 def lost(calls, by_id, world):
-    """A request that a sound engine ran is answered, also by a process that was told to stop, and so
-    is each one on a connection that is open, whether it ran or not: only a kill or a standstill of the
-    process, or a caller that gave up, ends it without an answer. What did not run may also meet the very
-    end of a process that was told to stop."""
+    """A request that a healthy engine ran is answered, also by a stopping process, and so is each request on
+    an open connection, whether it ran or not. Only a killed or frozen process, or a caller that gave up,
+    may leave it without an answer. A request that did not run may also arrive just as a stopping process
+    exits."""
     faults = []
     for call in calls:
         if call["status"] is not None or call["gave_up"] or was_killed(call, world):
@@ -247,13 +249,13 @@
 
 
 def met_exit(call, world):
-    """Whether it was sent within a moment of the end of a process that was told to stop."""
+    """Whether it was sent within END_SECONDS of the exit of a stopping process."""
     return any(abs(call["sent_at"] - moment) <= END_SECONDS
                for moment in world["exits"].get(call["node"], ()))
 
 
 def memory(world):
-    """No process takes more memory than its machine has, and none ends without having been told to."""
+    """No process uses more memory than its machine has, and none exits without being told to."""
     faults = [f"node {node} took {peak / MEGABYTE:.1f} MB of {world['memory_bytes'][node] / MEGABYTE:.0f}"
               for node, peak in world["peak_bytes"].items() if peak > world["memory_bytes"][node]]
     return faults + [f"node {node} ended by itself with status {status}"
@@ -261,8 +263,8 @@
 
 
 def budget(runs, asked, world):
-    """After a request has crashed three engines, and nodes in touch have had the time to hear of it, it
-    reaches engines at most three times more."""
+    """Once a request has crashed three engines and connected nodes have had time to learn of it, it reaches
+    engines at most three more times."""
     faults = []
     ends = collections.defaultdict(list)
     for crash in world["crashes"]:
@@ -281,13 +283,14 @@
 
 
 def blamed(calls, world):
-    """No request that crashes nothing is refused for the crashes of another one."""
+    """No harmless request is rejected because of the crashes of another one."""
     return [f"{call['id']} was refused for crashes of another request" for call in calls
             if b'"kind":"quarantined"' in call["body"] and call["sent_body"] not in world["poison"]]
 
 
 def one(orders):
-    """Orders to one engine: no fence of two holders, and holders that take turns a lease apart."""
+    """Orders to one engine: no fence is used by two holders, and orders of different holders are at least one
+    lease apart."""
     faults = []
     by_engine = collections.defaultdict(list)
     for entry in orders:
@@ -307,7 +310,7 @@
 
 
 def stated_number(text):
-    """The value of a decimal number's text; None: it states none."""
+    """Returns the value of a decimal number, or None if the text is not one."""
     try:
         number = float(text) if text is not None and re.fullmatch(r"[0-9]+(\.[0-9]+)?", text) else None
     except ValueError:
--- a/test/platform_soak/links.py
+++ b/test/platform_soak/links.py
@@ -1,6 +1,6 @@
-"""Narrow links of machines: a proxy before a node's listener or the store that carries a bounded
-number of bytes a second each way. All connections of a machine share its link, in the order in which
-their bytes come. Small buffers hold a sender up as soon as the link is behind.
+"""Simulates narrow network links: a proxy in front of a node's listener or the store that limits the bytes
+per second in each direction. All connections of a machine share its link in the order in which their
+bytes arrive. Buffers are small, so that a sender blocks as soon as the link is saturated.
 """
 import socket
 import struct
@@ -9,13 +9,13 @@
 
 BITS_OF_A_BYTE = 8
 CHUNK_BYTES = 8192
-BUFFER_BYTES = 32768  # Linux doubles it.
+BUFFER_BYTES = 32768  # Linux doubles the value.
 CONNECT_SECONDS = 5
 RESET = struct.pack("ii", 1, 0)
 
 
 class Direction:
-    """What one direction of a link has yet to carry; thread-safe."""
+    """Backlog of one direction of a link. Thread-safe."""
 
     def __init__(self, megabits):
         self.bytes_per_second = megabits * 1e6 / BITS_OF_A_BYTE
@@ -24,7 +24,7 @@
         self.carried = 0
 
     def reserve(self, size):
-        """Returns when the link will have carried these bytes."""
+        """Returns the time at which the link will have transmitted these bytes."""
         with self.lock:
             self.free_at = max(self.free_at, time.monotonic()) + size / self.bytes_per_second
             self.carried += size
@@ -47,7 +47,7 @@
 
 
 def pump(source, target, directions):
-    """Carries bytes one way until the end of the connection. Returns whether it ended well."""
+    """Copies bytes in one direction until the connection ends. Returns whether it ended without an error."""
     try:
         while True:
             piece = source.recv(CHUNK_BYTES)
@@ -62,8 +62,8 @@
 
 
 def carry(near, target, there, back):
-    """One connection from `near` to the address `target`; `there` and `back` are the directions of
-    links that its bytes take."""
+    """Proxies one connection from `near` to the address `target`. `there` and `back` are the link directions
+    that its bytes pass through."""
     far = socket.socket()
     try:
         for each in (near, far):
@@ -84,7 +84,7 @@
             cut()
 
     def cut():
-        """Wakes the other way, too."""
+        """Aborts both connections, which also unblocks the other direction."""
         for each in (near, far):
             try:
                 each.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
@@ -106,7 +106,7 @@
 
 
 def listen(address, target, there, back):
-    """Starts a proxy at `address` (host, port) before `target`; returns its address."""
+    """Starts a proxy at `address` (host, port) in front of `target`. Returns its address."""
     listener = socket.socket()
     listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, BUFFER_BYTES)
@@ -123,7 +123,7 @@
 
 
 def between_nodes(hosts, port, proxy_port, node, links):
-    """Starts the proxies that a node's messages to all others take: from its own link to theirs."""
+    """Starts the proxies for a node's messages to all other nodes, from its own link to theirs."""
     own = links.get(node)
     for number, host in enumerate(hosts):
         theirs = links.get(number)
--- a/test/platform_soak/memory.py
+++ b/test/platform_soak/memory.py
@@ -1,11 +1,11 @@
-"""Memory of a process as seen from outside."""
+"""Reads the memory use of a process from /proc."""
 
 LOOK_SECONDS = 0.1
 KILOBYTE = 1024
 
 
 def peak_bytes(pid):
-    """Returns the most resident memory that a process had so far (VmHWM); 0 where it has ended."""
+    """Returns the peak resident memory of a process in bytes (VmHWM); 0 if it has exited."""
     try:
         with open(f"/proc/{pid}/status") as status:
             for line in status:
@@ -13,4 +13,4 @@
                     return int(line.split()[1]) * KILOBYTE
     except (FileNotFoundError, ProcessLookupError):
         pass
-    return 0  # A process that has ended but was not waited for tells no memory.
+    return 0  # A zombie process has no VmHWM line.
--- a/test/platform_soak/peer_detour.cc
+++ b/test/platform_soak/peer_detour.cc
@@ -1,8 +1,8 @@
 /// @file
-/// Preloaded into the gateways of a soak: leads their large messages to each other, which go over
-/// TCP to the port that all nodes listen on, to a proxy of the soak on the same host. The program
-/// itself stays as it is. FERNMOOR_PEER_DETOUR holds "PORT,PORT OF THE PROXY"; without it nothing
-/// is changed. Datagrams go straight.
+/// Preload library for the gateways of a soak. Redirects their large messages to each other, which
+/// are TCP connections to the port that all nodes listen on, to a proxy of the soak on the same
+/// host, without changes to the gateway. FERNMOOR_PEER_DETOUR holds "PORT,PROXY_PORT"; without it
+/// nothing is redirected. Datagrams are not redirected.
 #include <arpa/inet.h>
 #include <dlfcn.h>
 #include <netinet/in.h>
@@ -15,8 +15,8 @@
 
 using Connect = int (*)(int, const sockaddr*, socklen_t);
 
-/// Loopback would take megabytes off the sender's hands at once; a narrow link with its small
-/// window does not. Linux doubles it.
+/// Send buffer size. Loopback would accept megabytes from the sender at once, unlike a narrow link
+/// with its small window. Linux doubles the value.
 constexpr int kSendBufferBytes = 32768;
 
 struct Detour {
--- a/test/platform_soak/store.py
+++ b/test/platform_soak/store.py
@@ -1,9 +1,9 @@
-"""A stand-in of the users' platform's store: objects by kind with revisions, conditional writes,
-lists and watches, over HTTP. Each node has a port of its own, so that the store can turn some nodes
-away and serve others. Faults: refuse (503), throttle (429), reset, silent, slow, lost (done, but not
-answered), late (done some time later, not answered). Beside these, connections that are open may go silent for
-good while new ones work, and the store may come back from a copy some seconds old: its revisions go back and are
-given out again, a watch from one that it doesn't have gets 410, and all its answers name the next era.
+"""Simulates the users' platform's store over HTTP: objects by kind with revisions, conditional writes, lists
+and watches. Each node has its own port, so that the store can reject some nodes and serve others.
+Faults: refuse (503), throttle (429), reset, silent, slow, lost (applied but not answered), late (applied
+some time later, not answered). Also, open connections may go silent permanently while new ones work,
+and the store may be restored from a copy some seconds old: its revisions go back and are assigned again,
+a watch from a revision that it lacks gets 410, and all its responses name the next era.
 """
 import collections
 import http.server
@@ -20,19 +20,19 @@
 
 
 class Store:
-    """The state; thread-safe."""
+    """The objects and their history. Thread-safe."""
 
     def __init__(self):
         self.changed = threading.Condition()
         self.revision = 0
         self.era = 1
-        self.oldest = 0    # A watch from an earlier revision finds its history gone.
+        self.oldest = 0    # A watch from an earlier revision gets no history.
         self.copies = collections.deque()  # (when, revision, objects)
         self.objects = {}  # (kind, name) -> object; replaced, never changed
         self.events = []   # (revision, kind, object, gone)
         self.faults = {}   # node -> name of the fault
-        self.calls = []    # (node, method, path), refused ones too
-        self.silent_since = 0.0  # Connections that were opened before say nothing any more.
+        self.calls = []    # (node, method, path), including rejected ones
+        self.silent_since = 0.0  # Connections opened before this time send nothing any more.
         self.seed = 0
 
     def put(self, kind, name, spec, revision=None, must_be_new=False):
@@ -70,12 +70,12 @@
         self.changed.notify_all()
 
     def begin_copies(self):
-        """What was written until now is in every copy."""
+        """Makes everything written until now part of every copy."""
         with self.changed:
             self.copies = collections.deque([(time.monotonic(), self.revision, self.objects)])
 
     def restore(self, seconds):
-        """Comes back from a copy that is that old. Returns how many revisions were lost."""
+        """Restores a copy of that age. Returns how many revisions were lost."""
         with self.changed:
             then = time.monotonic() - seconds
             older = [copy for copy in self.copies if copy[0] <= then] or [self.copies[0]]
@@ -93,7 +93,7 @@
             return {"items": items, "more": False, "at": self.revision}
 
     def watch(self, kind, since, wait_seconds):
-        """Returns events after the revision, or None where the history is gone."""
+        """Returns the events after the revision, or None if their history is gone."""
         end = time.monotonic() + wait_seconds
         with self.changed:
             while True:
@@ -109,7 +109,7 @@
                 self.changed.wait(left)
 
     def silence_connections(self):
-        """Connections that are open now stay so, but nothing comes by them any more."""
+        """Keeps open connections open but sends nothing on them any more."""
         self.silent_since = time.monotonic()
 
     def forget_history(self):
@@ -134,14 +134,14 @@
         try:
             super().handle()
         except (OSError, ValueError):
-            pass  # The node went away, or this stand-in closed the connection.
+            pass  # The node disconnected, or this server closed the connection.
 
     def wait_if_silent(self):
-        """On a silent connection waits until the node closes it, and raises."""
+        """If the connection is silent, waits until the node closes it and raises."""
         if self.opened_at >= self.store.silent_since:
             return
         while self.connection.recv(4096):
-            pass  # Whatever is asked is not heard.
+            pass  # Requests are read and ignored.
         raise ConnectionAbortedError
 
     def finish(self):
@@ -170,7 +170,7 @@
         self.connection.close()
 
     def turned_away(self):
-        """Notes the call. Returns whether a fault answered it."""
+        """Records the call. Returns whether a fault handled it."""
         self.wait_if_silent()
         self.store.calls.append((self.node, self.command, self.path))
         return self.is_faulty()
