--- a/test/platform_soak/judge.py
+++ b/test/platform_soak/judge.py
@@ -319,9 +319,9 @@
 
 
 def limit_stretches(limits, told, forgotten):
-    """Returns {life: [[start, end, [(since, rate)]]]}: where an engine states limits without a gap, by its
-    answers: what none of them told is no limit. An odd text neither states nor ends one. `forgotten`: when
-    all nodes were killed at once; no node knows then what is stated no more."""
+    """Returns {life: [[start, end, [(since, rate)]]]}: the intervals during which an engine stated limits without
+    a gap. A limit counts only from the first response that stated it; an invalid text neither sets nor clears
+    it. `forgotten`: times at which all nodes were killed at once; afterwards no node knows earlier limits."""
     stretches = collections.defaultdict(list)
     ends = [entry for entry in limits if entry["text"] is None]
     ends += [{"life": life, "at": moment, "text": None} for moment in forgotten
@@ -339,16 +339,16 @@
 
 
 def most_allowed(rates, start, end):
-    """rates: (since, requests a second). What a window may hold: the greatest limit that was stated in it, or
-    shortly before, counts for all of it."""
+    """Returns the requests allowed in a window: the highest limit stated during it or shortly before applies to
+    all of it. rates: (since, requests per second)."""
     in_force = [rate for (since, rate), (until, _) in zip(rates, rates[1:] + [(math.inf, 0)])
                 if since <= end and until + LIMIT_TOLD_SECONDS >= start]
     return LIMIT_FACTOR * max(in_force) * LIMIT_WINDOW_SECONDS + LIMIT_SLACK
 
 
 def limit(asked, world):
-    """From a while after an engine first stated a limit, it gets no more than that allows from nodes in touch
-    that had such an answer."""
+    """Some time after an engine first stated a limit, it gets no more requests than allowed from connected nodes
+    that received such a response."""
     faults = []
     answered = [entry for entry in world["told"] if entry["id"] in asked]
     for life, stretches in limit_stretches(world["limits"], answered,
@@ -373,7 +373,7 @@
 
 
 def windows_beyond(life, arrivals, rates):
-    """The windows that hold more arrivals than the limit allows, each told by its first arrival."""
+    """Returns the windows with more arrivals than the limit allows, each reported by its first arrival."""
     faults, last = [], 0
     for first, start in enumerate(arrivals):
         while last < len(arrivals) and arrivals[last] <= start + LIMIT_WINDOW_SECONDS:
@@ -390,8 +390,8 @@
 
 
 def drain(calls, asked, world):
-    """What a caller sent later than the bound after its node had passed on an answer that says that its engine
-    leaves does not reach that engine from that node, unless something struck the node since."""
+    """After a node has forwarded a response that announces the shutdown of its engine, requests sent later than
+    the bound do not reach that engine from that node, unless a fault hit the node since."""
     passed_on = {call["stamp"]: call["answered_at"] for call in calls if call["stamp"]}
     told = collections.defaultdict(list)
     for entry in world["told_leaving"]:
@@ -411,8 +411,8 @@
 
 
 def rest(asked, world):
-    """From a while after an engine asked a node for rest up to the rest's end it gets no more than a few requests
-    from that node, unless something struck the node since."""
+    """Some time after an engine sent a node a Retry-After and until it ends, the engine gets at most a few requests
+    from that node, unless a fault hit the node since."""
     arrivals = collections.defaultdict(list)
     for entry in world["arrivals"]:
         if entry["id"] in asked:
--- a/test/platform_soak/soak.py
+++ b/test/platform_soak/soak.py
@@ -1,16 +1,15 @@
 #!/usr/bin/env python3
-"""A randomized fault soak: real gateway processes before a stand-in of the users' platform, callers
-that ask all the while, and faults drawn by a seed. Callers keep their connections until these are
-closed, also those of a process that stops. Faults come in several series that overlap; in some
-series all nodes are struck one after the other. Engines read slowly or hang with work in their queues, and
-connections to the store go silent for good. Engines state limits, change and end them; engines say in
-their answers that they leave, long before or without their entries in the store, and are replaced;
-engines ask for rest. With every other seed the store itself stays sound, as the bound of new weights
-holds only while it does. With drills the store comes back from copies some seconds old, and operators
-and engines write again what it lost. With growth the operators' table grows by a thousand rows and
-more, time after time, and its rows are changed one by one while it spreads; nodes then have narrow
-links to each other and to the store. What callers and engines saw is judged by the users' rules; at the
-end, with all faults over, each kind of request must be served again.
+"""A randomized fault-injection soak: real gateway processes with a simulated platform, callers that send
+requests continuously, and faults drawn from a seed. Callers keep their connections until these are closed,
+also those to a stopping process. Several series of faults overlap; in some series all nodes are hit one
+after the other. Engines read slowly or hang with queued work, and connections to the store go silent
+permanently. Engines state limits, change and clear them; engines announce their shutdown in responses,
+long before or without their entries in the store, and are replaced; engines send Retry-After. With every
+other seed the store itself stays healthy, as the bound for new weights holds only then. With drills the
+store is restored from copies some seconds old, and operators and engines write again what it lost. With
+growth the operators' table repeatedly grows by a thousand rows or more, and single rows are changed
+while it spreads; nodes then have narrow links to each other and to the store. What callers and engines
+recorded is judged by the users' rules; at the end, without faults, each kind of request must be served.
 
 usage: soak.py BUILD_FOLDER [--seed N] [--seconds S] [--nodes N] [--series N] [--poison N] [--growth N]
                [--slow N] [--silent N] [--limits N] [--leaves N] [--rests N] [--drills N] [--beats N]
@@ -53,38 +52,38 @@
     "stream-once": ("/stream/once/", "stream", MODELS, 1),
     "stream-again": ("/stream/again/", "stream", MODELS, 2),
 }
-ROW = "row"  # The kind of a request to a row that was added.
+ROW = "row"  # Kind of requests to added rows.
 SLOW_EVENT_SECONDS = 0.5
-CALLER_SECONDS = 6  # A caller leaves that hears nothing for so long.
-# A caller of a poison request asks again so long after each failure; each series goes on so long.
+CALLER_SECONDS = 6  # A caller gives up without a response for this long.
+# Pause of a poison request's caller after each failure, and the duration of each series.
 POISON_PAUSE_SECONDS = 0.7
 POISON_SECONDS = (4.0, 9.0)
-# Some requests are asked all the time: one body and path for each of a few subjects.
+# Share of requests that are repeated: one body and path for each of a few subjects.
 REPEATED_SHARE, REPEATED_SUBJECTS = 0.2, 3
 CALLERS = 24
 MODEL_ENGINES, PLAIN_ENGINES = 10, 3
-# An engine that is slow reads the 300 tokens of a call in 0.03 to 0.9 s, one that hangs begins nothing.
+# A slow engine reads the 300 tokens of a call in 0.03 to 0.9 s; a hanging one begins no request.
 SLOWNESS, SLOW_SECONDS, HANG_SECONDS = (5, 150), (0.5, 4.0), (0.3, 3.0)
 SILENCE_PAUSE_SECONDS = (2.0, 9.0)
-# Limits that engines state, and how often one changes before it ends.
+# Limits that engines state, and how often one changes before it is cleared.
 LIMIT_TEXTS = ("0", "0.1", "0.5", "1", "1.4", "2", "3.5", "10", "40")
 ODD_LIMIT_TEXTS = ("abc", "-1", "nan", "inf", "1e400", "1,4", "", "1.4|1.4", "+1", " ", "0x1", "9" * 400)
 LIMIT_CHANGES, LIMIT_PAUSE_SECONDS, ODD_LIMIT_CHANCE = (0, 4), (0.3, 6.0), 0.2
-# Rests that engines ask for, and texts that ask for none.
+# Retry-After values in seconds that engines send; ODD_REST_TEXTS are invalid ones.
 REST_TEXTS = ("0", "0.3", "1", "2.5", "3", "5")
 REST_CHANGES, REST_PAUSE_SECONDS = (0, 3), (0.2, 2.0)
-# An engine that leaves says so in the store so much later, or never, and ends so long after that.
+# Delay until a leaving engine's entry in the store says so (or never does), and from then to its exit.
 STORE_LEAVE_SECONDS, LAST_SECONDS, SAYS_NOTHING_CHANCE = (0.0, 4.0), (2.5, 5.0), 0.3
 ODD_REST_TEXTS = ("abc", "-1", "nan", "inf", "1,4", "", "+1", " ", "0x1", "Wed, 21 Oct 2026 07:28:00 GMT")
-# Callers ask for the rows that were added last, some of the time.
+# Share of requests to the most recently added rows.
 ROW_CHANCE, ROWS_ASKED = 0.2, 3
-# The store comes back from a copy so old, after it was away for so long; what it lost is written again so much later.
+# Age of the copy from which the store is restored, its downtime, and the delay until lost objects are written again.
 COPY_SECONDS, AWAY_SECONDS, WRITTEN_AGAIN_SECONDS = (0.5, 8.0), (0.0, 1.5), (0.0, 1.0)
 DRILL_PAUSE_SECONDS, SECOND_DRILL_CHANCE, GHOST_SECONDS = (2.0, 9.0), 0.25, 1.5
 TABLE_LOOK_SECONDS = 0.2
 RECOVERY_SECONDS = 40
 LAST_POISON_NODES = 5
-# A table of the users' smallest machines may have so many bytes; those grown past it are cut back.
+# Largest table allowed for the users' smallest machines; a table that grew past it is cut back.
 MOST_TABLE_BYTES, ROW_BYTES = 1_000_000, 200
 ROWS_OF_A_GROWTH = (1000, 1400)
 CHANGES_OF_A_GROWTH, CHANGE_PAUSE_SECONDS = (3, 10), (0.1, 0.6)
@@ -94,20 +93,20 @@
 
 @functools.lru_cache(maxsize=None)
 def extra_row(number, timeout_ms):
-    """Rows that did not change are the same object in all versions that the store remembers."""
+    """Returns a row. Cached, so that unchanged rows are one object in all versions that the store remembers."""
     return {"name": f"extra-{number}", "host": "h.example", "service": PLAIN,
             "path-prefix": f"/extra-{number}/", "type": "unsafe", "timeout-ms": timeout_ms}
 
 
 def has_ended(connection):
-    """Whether the other side closed a connection on which nothing was asked."""
+    """Returns whether the other side closed an idle connection."""
     poll = select.poll()
     poll.register(connection, select.POLLIN)
     return bool(poll.poll(0))
 
 
 class Machine:
-    """What a node's machine has; `link`: none where its bytes are not bounded."""
+    """Resources of a node's machine; `link` is None if its bandwidth is not limited."""
 
     def __init__(self, memory_mb=MEMORY_MB, link=None, environment=None):
         self.memory_mb, self.link = memory_mb, link
@@ -116,7 +115,7 @@
 
 
 class Node:
-    """One gateway process on a loopback address of its own."""
+    """A gateway process with its own loopback address."""
 
     def __init__(self, number, binary, folder, store, ports, hosts, machine=None):
         self.number, self.binary, self.folder = number, binary, folder
@@ -136,12 +135,12 @@
             "limits.max-fds=4000", f"limits.memory-mb={self.machine.memory_mb}",
             f"limits.link-mbps={self.machine.link_mbps}"]) + "\n")
         self.process = None
-        self.life = threading.Lock()  # Held while the process begins or ends.
+        self.life = threading.Lock()  # Held while the process starts or ends.
         self.is_closed = False  # It is not started again.
         self.peak_bytes = 0
-        self.exits = []  # when it had ended after it was told to
+        self.exits = []  # times at which it had exited after a signal
         self.ended_itself = []  # (when, exit status)
-        self.struck = []  # (start, end) of all that kept it out of touch
+        self.struck = []  # (start, end) of all faults that disconnected it
         self.killed = []  # when it was killed or frozen
         self.turn = threading.Lock()  # Held by the fault that strikes it.
         self.start()
@@ -155,7 +154,7 @@
         return f"{proxy[0]}:{proxy[1]}"
 
     def strike(self, start=None):
-        """Notes that something struck the process, from `start` until now."""
+        """Records that a fault hit the process, from `start` until now."""
         now = time.monotonic()
         self.struck.append((now if start is None else start, now))
 
@@ -180,7 +179,7 @@
         self.wait_for_end(process)
 
     def wait_for_end(self, process):
-        """Reads its memory up to its end."""
+        """Waits for the exit and samples the memory until then."""
         end = time.monotonic() + 20
         while process.poll() is None:
             if time.monotonic() > end:
@@ -190,7 +189,7 @@
         self.exits.append(time.monotonic())
 
     def table_version(self):
-        """Returns the version of the table in force, as the process tells it; None: it does not."""
+        """Returns the version of the table in force from the metrics, or None if they cannot be read."""
         url = f"http://{self.host}:{self.ports['metrics']}/metrics"
         try:
             with urllib.request.urlopen(url, timeout=5) as answer:
@@ -201,7 +200,7 @@
             return None
 
     def bounds_stretched(self):
-        """Returns when the process took the store for away and held requests to longer bounds."""
+        """Returns the times at which the process found the store unavailable and extended the bounds."""
         since_boot = time.time() - time.monotonic()
         moments = []
         for line in (self.folder / f"node-{self.number}.log").read_text().splitlines():
@@ -215,8 +214,8 @@
         self.peak_bytes = max(self.peak_bytes, peak)
 
     def look(self):
-        """Notes its memory, and whether it ended without having been told to; it is started again
-        then, as the platform does. Nothing while a fault strikes it."""
+        """Samples the memory and restarts the process, as the platform does, if it exited by itself, which is
+        recorded. Does not check for an exit while a fault is applied to the node."""
         self.note_memory()
         if not self.turn.acquire(blocking=False):
             return
@@ -235,12 +234,12 @@
                 return
             self.killed.append(time.monotonic())
             self.note_memory()
-            self.process.kill()  # Also where it is frozen.
+            self.process.kill()  # Works on a frozen process too.
             self.process.wait()
 
 
 class World:
-    """All that runs, and what was seen."""
+    """All processes and simulated parts of a run, and what was recorded."""
 
     def __init__(self, options):
         self.random = random.Random(options.seed)
@@ -419,7 +418,7 @@
             time.sleep(0.01)
 
     def new_poison(self, kind):
-        """Returns a request that crashes each engine that begins to run it."""
+        """Returns a new request that crashes each engine that begins to run it."""
         subject = f"poison-{len(self.poisons)}-{self.random_id()}"
         with self.seen.lock:
             self.seen.poison = self.seen.poison | {f"body of {subject}".encode()}
@@ -427,7 +426,7 @@
         return self.poisons[-1]
 
     def keep_asking_poison(self, poison, seconds, draw, patience=CALLER_SECONDS):
-        """One caller asks again after each failure, at any node."""
+        """A caller that retries the request after each failure, at any node."""
         end = time.monotonic() + seconds
         while time.monotonic() < end and not self.stopping.is_set():
             self.call(poison[0], "k-open", draw.choice(self.nodes), repeated=poison[1],
@@ -466,7 +465,7 @@
             for node in self.nodes:
                 node.look()
 
-    # Faults: each takes its time and mends what it broke.
+    # Faults: each one blocks until it has repaired what it broke.
 
     def node_killed(self, draw):
         node = draw.choice(self.nodes)
@@ -716,7 +715,7 @@
         self.rules["revoked"][key] = time.monotonic()
 
     def key_revoked_unheard(self, draw):
-        """A key is taken away while no node hears the store, for longer than it may work."""
+        """Revokes a key while no node can reach the store, for longer than the revocation bound."""
         with self.changes:
             start = time.monotonic()
             for node in self.nodes:
@@ -789,12 +788,12 @@
             self.drill(draw)
 
     def keep_beating(self):
-        """Engines write their entries again and again, `beats` of them a second."""
+        """Writes the entries of engines repeatedly, `beats` per second in total."""
         while not self.is_over.wait(1 / self.beats):
             random.choice(self.engines).heartbeat()
 
     def watch_tables(self):
-        """Looks whether a table that is in force at a node ever goes back in one life of its process."""
+        """Checks that the table version in force never decreases during one incarnation of a node."""
         newest = {}
         while not self.is_over.wait(TABLE_LOOK_SECONDS):
             for node in self.nodes:
@@ -866,7 +865,7 @@
             time.sleep(draw.uniform(0.0, 3.0))
 
     def poison_comes_last(self):
-        """With all faults over, what crashed engines before comes once more at every node."""
+        """After all faults, sends the requests that crashed engines once more to every node."""
         time.sleep(judge.CONTACT_SECONDS)
         for poison in self.poisons:
             for node in self.nodes[:LAST_POISON_NODES]:
@@ -892,7 +891,7 @@
             time.sleep(draw.uniform(0.0, 0.5))
 
     def wait_until_served(self):
-        """Until each node serves each kind of request. Raises where that never comes."""
+        """Waits until each node serves each kind of request. Raises on timeout."""
         end = time.monotonic() + RECOVERY_SECONDS
         with concurrent.futures.ThreadPoolExecutor(len(self.nodes)) as pool:
             list(pool.map(lambda node: self.wait_until_node_serves(node, end), self.nodes))
@@ -908,7 +907,7 @@
                 time.sleep(0.1)
 
     def wait_until_moved(self, seconds=RECOVERY_SECONDS):
-        """Until every model engine holds the newest weights. Raises where that never comes."""
+        """Waits until every model engine has the newest weights. Raises on timeout."""
         end = time.monotonic() + seconds
         models = [engine for engine in self.engines if engine.service == MODELS]
         while any(engine.version != self.weights for engine in models):
@@ -918,7 +917,7 @@
             time.sleep(0.1)
 
     def wait_until_table_is_held(self):
-        """Until every node has the newest table in force. Raises where that never comes."""
+        """Waits until every node has the newest table in force. Raises on timeout."""
         end = time.monotonic() + RECOVERY_SECONDS
         while True:
             held = [node.table_version() for node in self.nodes]
@@ -929,13 +928,13 @@
             time.sleep(0.1)
 
     def close(self):
-        """Ends all gateways, also where the run was cut off, and starts none again."""
+        """Ends all gateways, also after an interrupted run, and restarts none."""
         self.is_over.set()
         for node in self.nodes:
             node.close()
 
     def seen_by_judge(self):
-        """All that the judge needs beside calls, runs and orders."""
+        """Returns what the judge needs besides calls, runs and orders."""
         rules = dict(self.rules, crashes=self.seen.crashes, poison=self.seen.poison,
                      arrivals=self.seen.arrivals, limits=self.seen.limits, told=self.seen.told,
                      told_leaving=self.seen.told_leaving, told_rest=self.seen.told_rest,
@@ -989,7 +988,7 @@
 
 
 def end_on_signals():
-    """A run that is cut off ends its gateways as any other does."""
+    """Makes an interrupted run end its gateways like any other run."""
     def cut(number, _):
         raise SystemExit(f"cut off by signal {number}")
     for each in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP):
@@ -997,7 +996,7 @@
 
 
 def play(options):
-    """Returns the world after its run, with all gateways ended."""
+    """Returns the world after its run, when all gateways have exited."""
     world = World(options)
     try:
         world.start_nodes(options)
@@ -1013,7 +1012,7 @@
 
 
 def what_came(call):
-    """The status, or why there was none; of refusals their kind."""
+    """Returns the status, or why there was none; for rejections the error kind."""
     kind = re.search(rb'"kind":"([^"]*)"', call["body"])
     if call["status"] is None:
         return "gave up" if call["gave_up"] else "no answer"
