--- a/test/platform_soak/soak.py
+++ b/test/platform_soak/soak.py
@@ -304,7 +304,7 @@
         return engine
 
     def bring_back(self, old):
-        """Brings an engine back that a request crashed; every other one has its former id."""
+        """Restarts an engine that a request crashed; every other one gets its former id."""
         thread = threading.Thread(target=self.start_again, args=(old,), daemon=True)
         self.returning.append(thread)
         thread.start()
@@ -398,7 +398,7 @@
         return f"{random.getrandbits(64):016x}"
 
     def keep_calling(self, number):
-        """One caller; every other one keeps its connections for as long as they work."""
+        """Runs one caller; every other one keeps its connections open for as long as they work."""
         draw = random.Random(number)
         kept = {}
         while not self.stopping.is_set():
@@ -451,7 +451,7 @@
                 self.write_config()
 
     def keep_growing(self, series, seconds):
-        """A series of its own, beside all others."""
+        """Runs as a separate series, concurrently with all others."""
         draw = random.Random(f"{self.seed} growth {series}")
         end = time.monotonic() + seconds
         while time.monotonic() < end:
@@ -508,8 +508,8 @@
             node.start()
 
     def nodes_rolled(self, draw):
-        """All nodes are told to stop one after the other, sooner than the first of them ends, and
-        each is started again when it has ended."""
+        """Stops all nodes one after the other, all before the first of them has exited, and restarts each
+        one when it has exited."""
         gap = draw.uniform(0.2, 1.0) * 5 / len(self.nodes)
         rolls = []
         for node in draw.sample(self.nodes, len(self.nodes)):
@@ -553,7 +553,7 @@
             self.engines[place] = self.new_engine(old.number, old.service)
 
     def poison_comes(self, draw):
-        """One or two requests that crash engines come at any node; some have come before."""
+        """Sends one or two requests that crash engines to any node; some were sent before."""
         seconds = draw.uniform(*POISON_SECONDS)
         callers = []
         for _ in range(draw.randint(1, 2)):
@@ -567,8 +567,7 @@
             caller.join()
 
     def keep_failing_engines(self, seed):
-        """One engine or another fails part of the time, each way in turn, beside all other
-        faults."""
+        """Makes some engine fail part of the time, in each way in turn, concurrently with all other faults."""
         draw = random.Random(seed)
         ways = list(itertools.product((MODELS, PLAIN), ("lost", "broken", "error", "busy")))
         ways += [(MODELS, "late"), (MODELS, "stubborn")]
@@ -583,8 +582,8 @@
             time.sleep(draw.uniform(0.1, 0.4))
 
     def keep_slowing_engines(self, series, seconds):
-        """A series of its own: some engines of the model read slowly for a while, or hang and then go
-        on with what they hold."""
+        """Separate series: some engines of the model read slowly for a while, or hang and then continue with
+        their queued requests."""
         draw = random.Random(f"{self.seed} slow {series}")
         end = time.monotonic() + seconds
         while time.monotonic() < end:
@@ -605,8 +604,8 @@
             time.sleep(draw.uniform(0.0, 2.0))
 
     def keep_limiting_engines(self, series, seconds):
-        """A series of its own: some engines, or all, state limits, change them, say odd things in between,
-        and state none any more."""
+        """Separate series: some engines, or all, state limits, change them, send invalid values in between, and
+        clear them."""
         draw = random.Random(f"{self.seed} limits {series}")
         end = time.monotonic() + seconds
         while time.monotonic() < end:
@@ -624,8 +623,8 @@
             time.sleep(draw.uniform(0.0, 3.0))
 
     def keep_replacing_engines(self, series, seconds):
-        """A series of its own: some engines, or all plain ones, leave, and new ones come before or after they
-        say so."""
+        """Separate series: some engines, or all plain ones, leave, and new ones start before or after they
+        announce it."""
         draw = random.Random(f"{self.seed} leaves {series}")
         end = time.monotonic() + seconds
         while time.monotonic() < end:
@@ -641,7 +640,7 @@
             time.sleep(draw.uniform(0.0, 2.0))
 
     def replace(self, old, draw):
-        """An engine leaves and ends. Where another fault has ended it meanwhile, it leaves its place alone."""
+        """Makes an engine leave and exit. If another fault has ended it meanwhile, its place is not changed."""
         with self.engines_turn:
             place = next((number for number, each in enumerate(self.engines) if each is old), None)
             if place is None:
@@ -660,8 +659,8 @@
             old.crash()
 
     def keep_resting_engines(self, series, seconds):
-        """A series of its own: some engines, or all, turn requests away and ask for rest, more and less of it
-        and in odd words."""
+        """Separate series: some engines, or all, reject requests with Retry-After, with changing and with invalid
+        values."""
         draw = random.Random(f"{self.seed} rests {series}")
         end = time.monotonic() + seconds
         while time.monotonic() < end:
@@ -679,8 +678,8 @@
             time.sleep(draw.uniform(0.0, 4.0))
 
     def keep_silencing_connections(self, series, seconds):
-        """A series of its own: connections to the store that are open go silent for good. For the
-        rules that counts as a reset of the connections of all nodes."""
+        """Separate series: open connections to the store go silent permanently. The rules treat this like a
+        reset of the connections of all nodes."""
         draw = random.Random(f"{self.seed} silent {series}")
         end = time.monotonic() + seconds
         while time.monotonic() < end:
@@ -762,7 +761,7 @@
             self.rules["unstable"].append((start, time.monotonic()))
 
     def write_again(self, draw):
-        """Operators and engines write what the store has lost; entries of engines that ended lapse."""
+        """Makes operators and engines write lost objects again; entries of exited engines expire."""
         time.sleep(draw.uniform(*WRITTEN_AGAIN_SECONDS))
         if self.store.objects[("config", "main")]["spec"]["version"] < self.version:
             self.write_config()
@@ -778,7 +777,7 @@
                 self.store.remove(kind, name)
 
     def keep_drilling(self, series, seconds):
-        """A series of its own, beside all others."""
+        """Runs as a separate series, concurrently with all others."""
         draw = random.Random(f"{self.seed} drills {series}")
         end = time.monotonic() + seconds
         while time.monotonic() < end:
@@ -856,7 +855,7 @@
             threading.Thread(target=self.watch_tables, daemon=True).start()
 
     def keep_sending_poison(self, series, seconds):
-        """A series of its own, beside all others."""
+        """Runs as a separate series, concurrently with all others."""
         draw = random.Random(f"{self.seed} poison {series}")
         end = time.monotonic() + seconds
         while time.monotonic() < end:
@@ -872,7 +871,7 @@
                 self.call(poison[0], "k-open", node, repeated=poison[1])
 
     def break_things(self, series, seconds):
-        """One series of faults; several run beside each other."""
+        """Runs one series of faults; several run concurrently."""
         faults = [self.node_killed, self.nodes_killed, self.node_frozen, self.node_stopped,
                   self.nodes_rolled, self.nodes_rolled, self.engine_crashes, self.weights_named,
                   self.weights_named_in_series, self.key_revoked, self.change_config]
