--- a/src/admission/distributed_limiter.cpp
+++ b/src/admission/distributed_limiter.cpp
@@ -110,7 +110,7 @@
   return true;
 }
 
-void DistributedLimiter::giveBack(const RowKey& row, double cost) {
+void DistributedLimiter::refund(const RowKey& row, double cost) {
   const auto found = rows_.find(row);
   if (found != rows_.end() && found->second.limits.ratePerSecond > 0) {
     found->second.tokens += cost;
--- a/src/admission/distributed_limiter.h
+++ b/src/admission/distributed_limiter.h
@@ -35,7 +35,7 @@
   /// @param cost in the unit of the rate.
   Result<Done> tryAcquire(const RowLimits& limits, double cost, DebtPolicy debtPolicy, Time now);
   /// Returns the tokens of a request that did not run after all.
-  void giveBack(const RowKey& row, double cost);
+  void refund(const RowKey& row, double cost);
   void release(const RowKey& row, Time now);
   /// Applies the owner's answer. Answers to any but the latest question are ignored.
   void onGrant(const LimitGrant& grant, Time now);
--- a/src/admission/limit_role.cpp
+++ b/src/admission/limit_role.cpp
@@ -36,14 +36,14 @@
   return limiter_.tryAcquire(limits, cost, DebtPolicy::kAllowDebt, now);
 }
 
-Result<Done> LimitRole::tryAcquireHeld(const RowLimits& limits, double cost, Time now) {
+Result<Done> LimitRole::tryAcquireWithoutDebt(const RowLimits& limits, double cost, Time now) {
   const RankedLock lock(mutex_);
   return limiter_.tryAcquire(limits, cost, DebtPolicy::kForbidDebt, now);
 }
 
-void LimitRole::giveBack(const RowKey& row, double cost) {
+void LimitRole::refund(const RowKey& row, double cost) {
   const RankedLock lock(mutex_);
-  limiter_.giveBack(row, cost);
+  limiter_.refund(row, cost);
 }
 
 bool LimitRole::awaitsAnswer(const RowKey& row) const {
--- a/src/admission/limit_role.h
+++ b/src/admission/limit_role.h
@@ -25,10 +25,10 @@
   /// Admits a request even before the owner answers, up to a bounded debt.
   Result<Done> tryAcquire(const RowLimits& limits, double cost, Time now) override;
   /// Admits a request only on tokens that this node holds.
-  Result<Done> tryAcquireHeld(const RowLimits& limits, double cost, Time now);
+  Result<Done> tryAcquireWithoutDebt(const RowLimits& limits, double cost, Time now);
   void release(const RowKey& row, Time now) override;
   /// Returns the tokens of a request that did not run after all.
-  void giveBack(const RowKey& row, double cost);
+  void refund(const RowKey& row, double cost);
   /// Asks the row's owner immediately instead of on the next tick.
   /// @param needed cost of the request that waits for the answer.
   /// @return false if the row has no owner, so that no answer will come.
--- a/src/bench/engine_views.cpp
+++ b/src/bench/engine_views.cpp
@@ -72,15 +72,15 @@
     const EngineLife life = lifeOf(engines[i]);
     const int64_t expected = memory_.expectedBlocks(life, chain, now);
     result[i].matchedBlocks = std::max(result[i].matchedBlocks, expected);
-    result[i].placed = memory_.loadSince(life, engines[i].load);
+    result[i].placed = memory_.loadAddedSince(life, engines[i].load);
   }
   return result;
 }
 
 void EngineViews::recordSent(const Placement& placement, const BlockChain& chain,
-                             int64_t missedTokens, Time now) {
+                             int64_t uncachedTokens, Time now) {
   const RankedLock lock(memoryMutex_);
-  memory_.recordSent(lifeOf(placement), chain, missedTokens, now);
+  memory_.recordSent(lifeOf(placement), chain, uncachedTokens, now);
 }
 
 void EngineViews::recordEnded(const Placement& placement, Time now) {
--- a/src/bench/engine_views.h
+++ b/src/bench/engine_views.h
@@ -45,7 +45,7 @@
   /// @return one entry for each engine, in their order.
   std::vector<EngineKnowledge> knowledge(const BlockChain& chain,
                                          const std::vector<EngineState>& engines, Time now) const;
-  void recordSent(const Placement& placement, const BlockChain& chain, int64_t missedTokens,
+  void recordSent(const Placement& placement, const BlockChain& chain, int64_t uncachedTokens,
                   Time now);
   void recordEnded(const Placement& placement, Time now);
   /// The engine told how many leading blocks it had.
--- a/src/bench/hollow_router.cpp
+++ b/src/bench/hollow_router.cpp
@@ -52,8 +52,8 @@
   return placed;
 }
 
-void HollowRouter::reportHit(const Placement& placement, const BlockChain& chain,
-                             int64_t matchedBlocks) {
+void HollowRouter::reportCacheHit(const Placement& placement, const BlockChain& chain,
+                                  int64_t matchedBlocks) {
   views_.confirm(placement, chain, matchedBlocks);
 }
 
--- a/src/bench/hollow_router.h
+++ b/src/bench/hollow_router.h
@@ -40,7 +40,7 @@
   /// Chooses an engine and remembers the placement.
   RouterPlacement place(const RoutingRequest& request, Time now);
   /// The engine told how many leading blocks it had.
-  void reportHit(const Placement& placement, const BlockChain& chain, int64_t matchedBlocks);
+  void reportCacheHit(const Placement& placement, const BlockChain& chain, int64_t matchedBlocks);
   void reportEnded(const Placement& placement, Time now);
 
   /// @return processor time that the policy took so far, in seconds, and number of choices.
--- a/src/bench/routing_experiment.cpp
+++ b/src/bench/routing_experiment.cpp
@@ -267,8 +267,8 @@
   void countTokens(size_t number, const standin::EngineFrame& frame, Time receivedAt) {
     Flight& flight = flights_[number];
     if (!flight.lastFrameAt) {
-      routers_[flight.router]->reportHit(flight.placement, flight.chain,
-                                         frame.cachedTokens / kTokensPerBlock);
+      routers_[flight.router]->reportCacheHit(flight.placement, flight.chain,
+                                              frame.cachedTokens / kTokensPerBlock);
       countFirstToken(number, receivedAt);
       countPrefix(number, frame);
     } else {
--- a/src/node/completion_handler.cpp
+++ b/src/node/completion_handler.cpp
@@ -68,7 +68,7 @@
                  RunState::kUnknown, std::nullopt};
   }
   void reportFailure(const Placement& placement, const Error& error) override {}
-  void reportHit(const Placement& placement, const AttemptFrame& firstFrame) override {}
+  void reportCacheHit(const Placement& placement, const AttemptFrame& firstFrame) override {}
   void reportEnded(const Placement& placement) override {}
 };
 
--- a/src/node/engine_chooser.cpp
+++ b/src/node/engine_chooser.cpp
@@ -127,7 +127,7 @@
   }
 }
 
-void EngineChooser::reportHit(const Placement& placement, const AttemptFrame& firstFrame) {
+void EngineChooser::reportCacheHit(const Placement& placement, const AttemptFrame& firstFrame) {
   directory_.reportSuccess(placement.engine);
   knowledge_.confirm(placement, chain_, firstFrame.cachedTokens / kTokensPerBlock);
 }
--- a/src/node/engine_chooser.h
+++ b/src/node/engine_chooser.h
@@ -21,7 +21,7 @@
 
   Result<PlacedAttempt> place(const std::vector<EngineId>& excluded) override;
   void reportFailure(const Placement& placement, const Error& error) override;
-  void reportHit(const Placement& placement, const AttemptFrame& firstFrame) override;
+  void reportCacheHit(const Placement& placement, const AttemptFrame& firstFrame) override;
   void reportEnded(const Placement& placement) override;
 
  private:
--- a/src/node/engine_knowledge.cpp
+++ b/src/node/engine_knowledge.cpp
@@ -62,7 +62,7 @@
     const int64_t expected = memory_.expectedBlocks(lives[i], chain, now);
     facts[i].matchedBlocks = std::max(answers[i].matchedBlocks, expected);
     facts[i].matchKnown = answers[i].known;
-    facts[i].placed = memory_.loadSince(lives[i], engines[i].load);
+    facts[i].placed = memory_.loadAddedSince(lives[i], engines[i].load);
   }
   return facts;
 }
@@ -73,15 +73,15 @@
   loads.reserve(engines.size());
   const RankedLock lock(mutex_);
   for (const EngineState& engine : engines) {
-    loads.push_back(memory_.loadSince(lifeOf(engine), engine.load));
+    loads.push_back(memory_.loadAddedSince(lifeOf(engine), engine.load));
   }
   return loads;
 }
 
 void EngineKnowledge::recordSent(const Placement& placement, const BlockChain& chain,
-                                 int64_t missedTokens, Time now) {
+                                 int64_t uncachedTokens, Time now) {
   const RankedLock lock(mutex_);
-  memory_.recordSent(lifeOf(placement), chain, missedTokens, now);
+  memory_.recordSent(lifeOf(placement), chain, uncachedTokens, now);
 }
 
 void EngineKnowledge::recordEnded(const Placement& placement, Time now) {
--- a/src/node/engine_knowledge.h
+++ b/src/node/engine_knowledge.h
@@ -36,7 +36,7 @@
   /// @return what this node brought to each engine since its load was measured, in their order.
   std::vector<PlacedLoad> placedLoads(const std::vector<EngineState>& engines) const;
   /// A request was sent to the engine.
-  void recordSent(const Placement& placement, const BlockChain& chain, int64_t missedTokens,
+  void recordSent(const Placement& placement, const BlockChain& chain, int64_t uncachedTokens,
                   Time now);
   /// It ended there.
   void recordEnded(const Placement& placement, Time now);
--- a/src/peers/limit_directory.cpp
+++ b/src/peers/limit_directory.cpp
@@ -41,13 +41,13 @@
     return Done{};
   }
   const RowKey& row = tenant.limits.row;
-  Result<Done> result = role_.tryAcquireHeld(tenant.limits, cost, clock_.now());
+  Result<Done> result = role_.tryAcquireWithoutDebt(tenant.limits, cost, clock_.now());
   for (int question = 0; !isOk(result) && question < kMostQuestions; ++question) {
     if (!role_.askNow(row, cost, clock_.now(), sender_) || !awaitAnswer(row)) {
       result = role_.tryAcquire(tenant.limits, cost, clock_.now());
       break;
     }
-    result = role_.tryAcquireHeld(tenant.limits, cost, clock_.now());
+    result = role_.tryAcquireWithoutDebt(tenant.limits, cost, clock_.now());
   }
   if (isOk(result)) {
     role_.release(row, clock_.now());  // Tenants have no bound on requests in flight.
@@ -62,7 +62,7 @@
 
 void LimitDirectory::giveBack(const gateway::Tenant& tenant, double cost) {
   if (tenant.limits.ratePerSecond > 0) {
-    role_.giveBack(tenant.limits.row, cost);
+    role_.refund(tenant.limits.row, cost);
   }
 }
 
--- a/src/relay/stream_relay.cpp
+++ b/src/relay/stream_relay.cpp
@@ -174,7 +174,7 @@
     announced_ = true;
     record_->promptTokens = std::max(record_->promptTokens, frame.promptTokens);
     record_->cachedTokens = std::max(record_->cachedTokens, frame.cachedTokens);
-    placer_.reportHit(streamPlacement_, frame);
+    placer_.reportCacheHit(streamPlacement_, frame);
     updateCallerPresence(sink_.attemptStarted(streamAttempt_, streamPlacement_, frame));
   }
   StreamFrame streamFrame{frame.position, frame.tokens, frame.text, frame.end};
--- a/src/relay/stream_relay.h
+++ b/src/relay/stream_relay.h
@@ -44,7 +44,7 @@
   /// Reports that an engine failed or rejected the request and should not be chosen again soon.
   virtual void reportFailure(const Placement& placement, const Error& error) = 0;
   /// Reports how much of the prompt the engine had cached, as stated in its first frame.
-  virtual void reportHit(const Placement& placement, const AttemptFrame& firstFrame) = 0;
+  virtual void reportCacheHit(const Placement& placement, const AttemptFrame& firstFrame) = 0;
   /// Reports that an attempt no longer occupies the engine, for whatever reason. Called once for
   /// each dispatch.
   virtual void reportEnded(const Placement& placement) = 0;
--- a/src/routing/placement_memory.cpp
+++ b/src/routing/placement_memory.cpp
@@ -26,8 +26,8 @@
       maximumMarks_(static_cast<size_t>(knobs.placementMarks)) {}
 
 void PlacementMemory::recordSent(const EngineLife& life, const BlockChain& chain,
-                                 int64_t missedTokens, Time now) {
-  loads_[life.engine].push_back(LoadChange{now, PlacedLoad{missedTokens, 1}});
+                                 int64_t uncachedTokens, Time now) {
+  loads_[life.engine].push_back(LoadChange{now, PlacedLoad{uncachedTokens, 1}});
   const uint64_t engine = engineLifeHash(life);
   for (size_t depth = kFineStep; depth <= chain.hashes.size(); depth = nextMarkDepth(depth)) {
     addMark(rendezvousWeight(chain.hashes[depth - 1], engine), now);
@@ -52,7 +52,7 @@
   return static_cast<int64_t>(matched);
 }
 
-PlacedLoad PlacementMemory::loadSince(const EngineLife& life, const EngineLoad& report) const {
+PlacedLoad PlacementMemory::loadAddedSince(const EngineLife& life, const EngineLoad& report) const {
   PlacedLoad sum;
   const auto found = loads_.find(life.engine);
   if (found == loads_.end()) {
--- a/src/routing/placement_memory.h
+++ b/src/routing/placement_memory.h
@@ -32,8 +32,9 @@
   explicit PlacementMemory(const Knobs& knobs);
 
   /// Records that a request was sent to the engine.
-  /// @param missedTokens prompt tokens that the engine is expected to prefill.
-  void recordSent(const EngineLife& life, const BlockChain& chain, int64_t missedTokens, Time now);
+  /// @param uncachedTokens prompt tokens that the engine is expected to prefill.
+  void recordSent(const EngineLife& life, const BlockChain& chain, int64_t uncachedTokens,
+                  Time now);
   /// Records that a request sent by this node ended on the engine or was abandoned.
   void recordEnded(const EngineLife& life, Time now);
 
@@ -41,7 +42,7 @@
   /// rounded down to a multiple of 8 up to depth 512 and in steps of 64 beyond.
   int64_t expectedBlocks(const EngineLife& life, const BlockChain& chain, Time now) const;
   /// @return the load added after the engine took the measurement in `report`.
-  PlacedLoad loadSince(const EngineLife& life, const EngineLoad& report) const;
+  PlacedLoad loadAddedSince(const EngineLife& life, const EngineLoad& report) const;
 
   /// Removes expired marks and load changes. Call it about once per second.
   void expire(Time now);
--- a/test/routing/placement_memory_test.cpp
+++ b/test/routing/placement_memory_test.cpp
@@ -44,12 +44,12 @@
   memory.recordEnded(lifeOf(1), kNow + Duration(20));
   EngineLoad report;
   report.measuredAt = kNow - Duration(1);
-  CHECK(memory.loadSince(lifeOf(1), report).prefillTokens == 260);
-  CHECK(memory.loadSince(lifeOf(1), report).streams == 1);
+  CHECK(memory.loadAddedSince(lifeOf(1), report).prefillTokens == 260);
+  CHECK(memory.loadAddedSince(lifeOf(1), report).streams == 1);
   report.measuredAt = kNow;
-  CHECK(memory.loadSince(lifeOf(1), report).prefillTokens == 100);
+  CHECK(memory.loadAddedSince(lifeOf(1), report).prefillTokens == 100);
   report.measuredAt = kNow + Duration(10);
-  CHECK(memory.loadSince(lifeOf(1), report).streams == -1);
+  CHECK(memory.loadAddedSince(lifeOf(1), report).streams == -1);
 }
 
 TEST_CASE("an engine that was idle between two requests did not work on the second one") {
@@ -60,7 +60,7 @@
   report.queuedPrefillTokens = 1000;  // Done after 0.1 s.
   memory.recordSent(lifeOf(1), chainOf(1000, 10), 500, kNow + Duration(300000));
   // 0.2 s of idling count as 2,000 tokens, so that 1,000 + 2,500 - 3,000 = 500 are left.
-  CHECK(memory.loadSince(lifeOf(1), report).prefillTokens == 2500);
+  CHECK(memory.loadAddedSince(lifeOf(1), report).prefillTokens == 2500);
 }
 
 TEST_CASE("the memory of prefixes is bounded") {
