--- a/test/admission/admission_controller_test.cpp
+++ b/test/admission/admission_controller_test.cpp
@@ -35,7 +35,7 @@
 
 }  // namespace
 
-TEST_CASE_FIXTURE(Fixture, "requests start while there are places and then wait for one") {
+TEST_CASE_FIXTURE(Fixture, "requests start while slots are free, then wait for one") {
   CHECK(isAdmitted(controller.admit(requestOf("a", kStart), kStart)));  // Not limited yet.
   controller.setCapacity(kPool, 1, kStart);
   const AdmissionRequest first = requestOf("a", kStart);
@@ -50,7 +50,7 @@
   CHECK(decisions[0].waited.count() == 500);
 }
 
-TEST_CASE_FIXTURE(Fixture, "a request that waited in vain is refused as not run") {
+TEST_CASE_FIXTURE(Fixture, "a queued request that expires is rejected as not run") {
   controller.setCapacity(kPool, 0, kStart);
   const TicketId ticket = ticketOf(controller.admit(requestOf("a", kStart), kStart));
   CHECK(controller.takeDecisions(kStart + Duration(2000000)).empty());
@@ -63,10 +63,10 @@
   CHECK(error.retryAfter.has_value());
 }
 
-TEST_CASE_FIXTURE(Fixture, "a request that cannot start in time is refused at once") {
+TEST_CASE_FIXTURE(Fixture, "a request that cannot start in time is rejected immediately") {
   controller.setCapacity(kPool, 1000, kStart);
   Time now = kStart;
-  for (int request = 0; request < 100; ++request) {  // 10 starts a second.
+  for (int request = 0; request < 100; ++request) {  // 10 starts per second.
     now += Duration(100000);
     controller.admit(requestOf("a", now), now);
   }
@@ -82,13 +82,13 @@
       retryAfters.insert(*errorOf(outcome).retryAfter);
     }
   }
-  CHECK(queued >= 18);  // Two seconds' worth of starts.
+  CHECK(queued >= 18);  // About two seconds of starts.
   CHECK(queued <= 23);
-  CHECK(retryAfters.size() > 70);  // Spread, so that they don't return together.
+  CHECK(retryAfters.size() > 70);  // Jitter keeps callers from retrying together.
   CHECK(controller.counters().refusedByEstimate == static_cast<uint64_t>(100 - queued));
 }
 
-TEST_CASE_FIXTURE(Fixture, "a refused, expired or cancelled request frees its row's concurrency") {
+TEST_CASE_FIXTURE(Fixture, "a rejected, expired or cancelled request frees its row's concurrency") {
   controller.setCapacity(kPool, 0, kStart);
   AdmissionRequest request = requestOf("a", kStart);
   request.limits.concurrency = 1;
--- a/test/admission/admission_queue_test.cpp
+++ b/test/admission/admission_queue_test.cpp
@@ -31,7 +31,7 @@
 
 }  // namespace
 
-TEST_CASE("interactive work goes before deferred work and low numbers before high ones") {
+TEST_CASE("interactive requests precede deferred ones, low priority numbers precede high ones") {
   AdmissionQueue queue{Knobs{}};
   queue.push(queuedOf(1, "a", kDeferred, 0));
   queue.push(queuedOf(2, "a", kInteractive, 7));
@@ -43,7 +43,7 @@
   CHECK_FALSE(queue.pop(kStart).has_value());
 }
 
-TEST_CASE("tenants of one priority share by weight, however many requests one brings") {
+TEST_CASE("tenants of equal priority share by weight, regardless of their number of requests") {
   AdmissionQueue queue{Knobs{}};
   uint64_t ticket = 0;
   for (int request = 0; request < 300; ++request) {
@@ -62,7 +62,7 @@
   CHECK(served["small"] == doctest::Approx(20).epsilon(0.1));
 }
 
-TEST_CASE("a tenant that comes back does not claim the time it was away") {
+TEST_CASE("a tenant gains no credit while it has no requests") {
   AdmissionQueue queue{Knobs{}};
   uint64_t ticket = 0;
   for (int request = 0; request < 200; ++request) {
@@ -81,7 +81,7 @@
   CHECK(returning == doctest::Approx(25).epsilon(0.1));
 }
 
-TEST_CASE("deferred work that waited for half its time gets every fourth grant") {
+TEST_CASE("deferred requests that waited for half their allowed time get every fourth grant") {
   AdmissionQueue queue{Knobs{}};
   for (uint64_t ticket = 1; ticket <= 40; ++ticket) {
     queue.push(queuedOf(ticket, "a", kInteractive, 0));
@@ -98,7 +98,7 @@
   CHECK(deferred == 5);
 }
 
-TEST_CASE("a full queue refuses the newest of the lowest band, never more urgent work") {
+TEST_CASE("a full queue rejects the newest request of the lowest band, never a more urgent one") {
   Knobs knobs;
   knobs.admissionQueueLimit = 2;
   AdmissionQueue queue(knobs);
@@ -109,7 +109,7 @@
   CHECK(queue.size() == 2);
 }
 
-TEST_CASE("requests that can no longer start in time are taken out") {
+TEST_CASE("requests that can no longer start in time are removed") {
   AdmissionQueue queue{Knobs{}};
   queue.push(queuedOf(1, "a", kInteractive));
   CHECK(queue.takeExpired(kStart + Duration(10000000)).empty());
--- a/test/admission/limit_role_test.cpp
+++ b/test/admission/limit_role_test.cpp
@@ -1,5 +1,6 @@
 /// @file
-/// Tests of src/admission/limit_role.h on the simulated network; they measure the stated error.
+/// Tests of src/admission/limit_role.h on the simulated network. They measure the error of the
+/// limits against the documented bounds.
 #include "admission/limit_role.h"
 
 #include <doctest/doctest.h>
@@ -12,7 +13,7 @@
 
 namespace {
 
-/// Members that the test sets; each node has its own picture.
+/// Membership view set by the test; each node has its own.
 class FixedMembership : public MembershipView {
  public:
   Member self() const override { return self_; }
@@ -36,7 +37,7 @@
   return limits;
 }
 
-/// Nodes in three zones that share one row's limits; requests come at random times.
+/// Nodes in three zones that share one row's limits; requests arrive at random times.
 struct LimitCluster {
   explicit LimitCluster(uint32_t count, uint64_t seed) : cluster(seed), random(seed), views(count) {
     for (const sim::Placement& placement : sim::spreadOverZones(count, 3, 1)) {
@@ -57,7 +58,7 @@
     return member;
   }
 
-  /// Gives each running node the picture of all running nodes that `sees` lets it see.
+  /// Sets each running node's membership view to the running nodes for which `sees` returns true.
   template <class Predicate>
   void updateViews(Predicate sees) {
     for (const auto& node : cluster.nodes()) {
@@ -74,7 +75,8 @@
     updateViews([](const auto& node, const auto& other) { return true; });
   }
 
-  /// Brings requests to all running nodes for a time; node n gets a share of n.
+  /// Sends requests to random nodes for the given time. If not `even`, nodes with low indices get
+  /// most.
   /// @return how many were admitted.
   int64_t offer(const RowLimits& limits, double requestsPerSecond, Duration length, bool even) {
     const Time end = cluster.now() + length;
@@ -83,7 +85,7 @@
     while (cluster.now() < end) {
       cluster.run(fromSeconds(random.exponential(1.0 / requestsPerSecond)));
       const uint64_t count = cluster.nodes().size();
-      // Uneven: the first nodes get most.
+      // Uneven: the first nodes get the most requests.
       const uint64_t drawn = even ? random.below(count) : random.below(1 + random.below(count));
       auto role = cluster.nodes()[drawn]->role<LimitRole>();
       if (!role) {
@@ -104,18 +106,18 @@
 
 }  // namespace
 
-TEST_CASE("a rate holds over all nodes, whichever of them the requests reach") {
+TEST_CASE("the rate limit holds across all nodes, whichever of them the requests reach") {
   for (const uint64_t seed : {1U, 2U, 3U}) {
     LimitCluster nodes(4, seed);
     const RowLimits limits = limitsOf(100, 20, 0);
     const auto admitted = static_cast<double>(nodes.offer(limits, 300, Duration(30000000), false));
     MESSAGE("4 nodes, 3 times the rate, 30 s: admitted " << admitted << " of at most 3020");
-    CHECK(admitted <= 3000 + 20 + 20);  // Burst, and once the nodes' advances.
+    CHECK(admitted <= 3000 + 20 + 20);  // Burst, plus the nodes' debt once.
     CHECK(admitted >= 3000 * 0.97);
   }
 }
 
-TEST_CASE("lost and doubled messages neither lose nor double tokens") {
+TEST_CASE("lost and duplicated messages neither lose nor duplicate tokens") {
   LimitCluster nodes(4, 1);
   sim::NetworkSettings settings;
   settings.lossRate = 0.1;
@@ -128,7 +130,7 @@
   CHECK(admitted >= 3000 * 0.9);
 }
 
-TEST_CASE("traffic under the rate is let pass, also where it is thin on many nodes") {
+TEST_CASE("traffic below the rate limit is admitted, even when spread thinly over many nodes") {
   LimitCluster few(4, 1);
   const int64_t admittedByFew = few.offer(limitsOf(100, 20, 0), 80, Duration(30000000), false);
   const auto refusedByFew = static_cast<double>(few.offered - admittedByFew);
@@ -142,7 +144,7 @@
   CHECK(refusedByMany / static_cast<double>(many.offered) < 0.1);
 }
 
-TEST_CASE("a rate holds while nodes crash and come back and their owner changes") {
+TEST_CASE("the rate limit holds while nodes crash and restart and the owner changes") {
   for (const uint64_t seed : {1U, 2U, 3U}) {
     LimitCluster nodes(6, seed);
     const RowLimits limits = limitsOf(100, 20, 0);
@@ -151,7 +153,7 @@
       sim::SimulatedNode& node = *nodes.cluster.nodes()[round];
       node.crash();
       admitted += static_cast<double>(nodes.offer(limits, 300, Duration(1000000), false));
-      nodes.everyoneSees();  // The others notice a second late.
+      nodes.everyoneSees();  // The others notice one second late.
       admitted += static_cast<double>(nodes.offer(limits, 300, Duration(2000000), false));
       node.start();
       nodes.everyoneSees();
@@ -163,7 +165,7 @@
   }
 }
 
-TEST_CASE("two sides of a cut together keep the rate") {
+TEST_CASE("both sides of a network partition together stay within the rate limit") {
   LimitCluster nodes(6, 1);
   const RowLimits limits = limitsOf(100, 20, 0);
   nodes.offer(limits, 300, Duration(5000000), false);
@@ -178,7 +180,7 @@
   CHECK(admitted >= 3000 * 0.85);
 }
 
-TEST_CASE("concurrency holds over all nodes while requests come and end") {
+TEST_CASE("the concurrency limit holds across all nodes while requests start and end") {
   for (const uint64_t seed : {1U, 2U, 3U}) {
     LimitCluster nodes(4, seed);
     const RowLimits limits = limitsOf(0, 1, 12);
@@ -187,7 +189,7 @@
     int64_t sum = 0;
     int64_t steps = 0;
     Random random(seed);
-    for (int step = 0; step < 40000; ++step) {  // 1 ms each, 2 requests on average of 200 ms.
+    for (int step = 0; step < 40000; ++step) {  // 1 ms per step; requests last 200 ms on average.
       nodes.cluster.run(Duration(1000));
       const Time now = nodes.cluster.now();
       for (auto entry = running.begin(); entry != running.end();) {
@@ -215,8 +217,8 @@
   }
 }
 
-TEST_CASE("an owner that nobody hears gives out its row while the others use equal shares") {
-  // The pictures of the members don't show the cut: the error until they do.
+TEST_CASE("an isolated owner grants the full limit while the other nodes use equal shares") {
+  // Measures the error until the membership views reflect the partition.
   LimitCluster nodes(3, 1);
   nodes.cluster.network().isolateZone(ZoneId("zone-1"));
   nodes.cluster.network().isolateZone(ZoneId("zone-2"));
@@ -226,7 +228,7 @@
   CHECK(admitted <= (3000 + 20) * (1.0 + 2.0 / 3.0) * 1.05);
 }
 
-TEST_CASE("without an owner each node keeps to its equal share") {
+TEST_CASE("without an owner each node stays within its equal share") {
   LimitCluster nodes(3, 1);
   for (uint32_t from = 1; from <= 3; ++from) {
     for (uint32_t to = 1; to <= 3; ++to) {
--- a/test/admission/limits_test.cpp
+++ b/test/admission/limits_test.cpp
@@ -11,7 +11,7 @@
 constexpr Time kStart{Duration(1000000)};
 }  // namespace
 
-TEST_CASE("a token bucket lets the burst and then the rate pass") {
+TEST_CASE("a token bucket admits the burst, then the rate") {
   TokenBucket bucket(100, 5, kStart);
   int passed = 0;
   for (int millisecond = 0; millisecond <= 1000; ++millisecond) {
@@ -25,7 +25,7 @@
   CHECK((bucket.timeUntilToken(later) == Duration::max()));
 }
 
-TEST_CASE("retries stay a tenth of the requests, with a few allowed in thin traffic") {
+TEST_CASE("retries stay within a tenth of the requests, with a few allowed in light traffic") {
   RetryBudget budget{Knobs{}};
   CHECK(budget.tryRetry(kStart));
   int retries = 0;
@@ -38,7 +38,7 @@
   CHECK(retries < 1200);
 }
 
-TEST_CASE("a row's rate and concurrency are refused with the time to come back") {
+TEST_CASE("requests over a row's rate or concurrency limit are rejected with a Retry-After") {
   LocalRowLimiter limiter;
   RowLimits limits;
   limits.row = RowKey{ServiceId("alerts"), TenantId("ward")};
--- a/test/admission/overload_test.cpp
+++ b/test/admission/overload_test.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// Overload of the admission controller on virtual time: goodput, the alerts' wait, fairness.
+/// Overload tests of the admission controller on virtual time: goodput, wait of alerts, fairness.
 #include <doctest/doctest.h>
 
 #include <algorithm>
@@ -138,7 +138,7 @@
 
 }  // namespace
 
-TEST_CASE("at two and ten times the capacity goodput, alerts and small tenants hold") {
+TEST_CASE("at two and ten times the capacity goodput, alerts and small tenants are preserved") {
   constexpr double kSeconds = 60;
   for (const double factor : {2.0, 10.0}) {
     OverloadRun run(factor);
@@ -155,10 +155,12 @@
     CHECK(goodput > 0.9);
     CHECK(alerts.served == alerts.offered);
     CHECK(alerts.wait(0.99) < 0.2);
-    // While alerts wait, the notes' band is overdue, too, and takes every second such turn: an
-    // eighth of the places is the least that deferred work gets, less the first second's.
+    // While alerts wait, the band of the notes is overdue as well and gets every second overdue
+    // grant. Deferred work therefore gets at least one eighth of the slots, except in the first
+    // second.
     CHECK(summaries > 0.11 * kSeconds * kCapacityPerSecond);
-    // Equal weights: the small tenant gets all it asks for or half, though it brings a fifth.
+    // Equal weights: the small tenant gets its whole demand or half the slots, although it sends
+    // only a fifth of the requests.
     CHECK(smallNotes >
           0.9 * std::min(largeNotes, static_cast<double>(run.outcomes["note/small"].offered)));
   }
--- a/test/relay/request_flow_test.cpp
+++ b/test/relay/request_flow_test.cpp
@@ -16,7 +16,7 @@
 constexpr int64_t kLength = 12;
 constexpr Duration kStep{10000};
 
-/// Every attempt words the answer in its own way, so that mixed answers show.
+/// Each attempt produces a different text, so that a mix of two answers is detected.
 std::string textOf(const AttemptId& attempt, int64_t first, int64_t count) {
   std::string text;
   for (int64_t position = first; position < first + count; ++position) {
@@ -44,14 +44,14 @@
   return limits;
 }
 
-/// Engines, network and caller of one request. Every step each live attempt may bring a frame, and
-/// while faults last, frames get lost, late, doubled and crossed, and attempts are refused, stall,
-/// break or are forgotten.
+/// Engines, network and caller of one request. In each step every running attempt may send a frame.
+/// During the fault period frames are lost, delayed, duplicated and reordered, and attempts are
+/// rejected, stall, break or are forgotten by the engine.
 class FaultyWorld {
  public:
   FaultyWorld(uint64_t seed, FlowLimits limits)
       : random_(seed), faultSteps_(20 + static_cast<int>(random_.below(150))), flow_(limits, now_) {
-    carryOut(flow_.begin());
+    execute(flow_.begin());
   }
 
   void run() {
@@ -65,7 +65,7 @@
       if (faulty_ && random_.chance(0.05)) {
         failAttempt();
       }
-      carryOut(flow_.onTick(now_));
+      execute(flow_.onTick(now_));
     }
   }
 
@@ -101,7 +101,7 @@
         late_.push_back(std::move(frame));
         continue;
       }
-      carryOut(flow_.onFrame(frame.attempt, frame.frame, now_));
+      execute(flow_.onFrame(frame.attempt, frame.frame, now_));
     }
   }
 
@@ -113,11 +113,11 @@
     if (random_.chance(0.5)) {
       running_.erase(attempt);
     }
-    carryOut(flow_.onAttemptFailed(attempt,
-                                   engineError(ErrorKind::kUnavailable, RunState::kUnknown), now_));
+    execute(flow_.onAttemptFailed(attempt, engineError(ErrorKind::kUnavailable, RunState::kUnknown),
+                                  now_));
   }
 
-  void carryOut(const FlowActions& actions) {
+  void execute(const FlowActions& actions) {
     for (const FlowAction& action : actions) {
       CHECK_FALSE(ended_);
       std::visit([this](const auto& concrete) { act(concrete); }, action);
@@ -126,7 +126,7 @@
 
   void act(const Place&) {
     const std::string name = "a" + std::to_string(100 + placed_++);
-    carryOut(
+    execute(
         flow_.onPlaced(placementOn("e" + std::to_string(random_.below(3))), AttemptId(name), now_));
   }
   void act(const Dispatch& dispatch) {
@@ -134,7 +134,7 @@
     CHECK(dispatch.deliveredText == received_);
     if (faulty_ && random_.chance(0.3)) {
       const bool stale = random_.chance(0.5);
-      carryOut(flow_.onAttemptFailed(
+      execute(flow_.onAttemptFailed(
           dispatch.attempt,
           engineError(stale ? ErrorKind::kWrongIncarnation : ErrorKind::kUnavailable,
                       RunState::kNotRun),
@@ -147,8 +147,8 @@
   }
   void act(const Resume& resume) {
     if (running_.count(resume.attempt) == 0) {
-      carryOut(flow_.onAttemptFailed(resume.attempt,
-                                     engineError(ErrorKind::kNotFound, RunState::kNotRun), now_));
+      execute(flow_.onAttemptFailed(resume.attempt,
+                                    engineError(ErrorKind::kNotFound, RunState::kNotRun), now_));
       return;
     }
     running_[resume.attempt] = resume.position;
@@ -174,7 +174,8 @@
   int faultSteps_;
   bool faulty_ = true;
   Time now_;
-  std::map<AttemptId, int64_t> running_;  ///< Next position of each attempt, cancelled ones too.
+  std::map<AttemptId, int64_t>
+      running_;  ///< Next position of each attempt, including cancelled ones.
   std::vector<LateFrame> late_;
   std::set<AttemptId> cancelled_;
   AttemptId current_;
@@ -202,7 +203,8 @@
   CHECK(finished > 1000);
 }
 
-TEST_CASE("a request that is not repeatable runs at most once and not_run is said truly") {
+TEST_CASE(
+    "a non-repeatable request runs at most once, and not_run is reported only if it did not run") {
   FlowLimits limits = testLimits();
   limits.repeatable = false;
   for (uint64_t seed = 1; seed <= 2000; ++seed) {
@@ -216,7 +218,7 @@
   }
 }
 
-TEST_CASE("misplacements cost no attempt up to a bound") {
+TEST_CASE("stale placements up to a limit are not counted as attempts") {
   FlowLimits limits = testLimits();
   limits.maxAttempts = 1;
   limits.maxStalePlacements = 2;
@@ -235,7 +237,7 @@
   CHECK(std::get<Refuse>(last.front()).error.retryAfter.has_value());
 }
 
-TEST_CASE("the deadline cancels the attempt and answers at once with when to come back") {
+TEST_CASE("the deadline cancels the attempt and answers immediately with a Retry-After") {
   const FlowLimits limits = testLimits();
   RequestFlow flow(limits, Time());
   flow.begin();
@@ -249,7 +251,7 @@
   CHECK(flow.onFrame(AttemptId("a"), {0, 1, " t0", false}, Time()).empty());
 }
 
-TEST_CASE("an adopted stream resumes at the caller's position and is never dispatched") {
+TEST_CASE("an adopted stream resumes at the caller's position and is never dispatched again") {
   RequestFlow flow(testLimits(), Time());
   const FlowActions first = flow.adopt(placementOn("e"), AttemptId("a"), 5, Time());
   CHECK(std::get<Resume>(first.front()).position == 5);
--- a/test/routing/hot_prefix_tracker_test.cpp
+++ b/test/routing/hot_prefix_tracker_test.cpp
@@ -6,14 +6,14 @@
 
 namespace fernmoor {
 
-TEST_CASE("a prefix gets homes as it heats and loses them as it cools") {
+TEST_CASE("a prefix gains homes as its request rate rises and loses them as it falls") {
   Knobs knobs;
   knobs.hotPrefixRequestsPerHome = 20;
   HotPrefixTracker tracker(knobs);
   Time now{Duration(0)};
   CHECK(tracker.countRequest(1, now) == 1);
   for (int request = 0; request < 1000; ++request) {
-    now += Duration(10000);  // 100 requests a second.
+    now += Duration(10000);  // 100 requests per second.
     tracker.countRequest(1, now);
   }
   CHECK(tracker.rate(1, now) == doctest::Approx(100).epsilon(0.05));
@@ -22,7 +22,7 @@
   CHECK(tracker.homes(1, now + Duration(20000000)) == 1);
 }
 
-TEST_CASE("the tracker stays within its bound and keeps the hot prefix") {
+TEST_CASE("the tracker stays within its size limit and keeps the hot prefix") {
   Knobs knobs;
   knobs.hotPrefixEntries = 16;
   HotPrefixTracker tracker(knobs);
--- a/test/routing/placement_memory_test.cpp
+++ b/test/routing/placement_memory_test.cpp
@@ -24,7 +24,8 @@
 
 }  // namespace
 
-TEST_CASE("a prefix sent lately is expected there, in that life only and not for long") {
+TEST_CASE(
+    "a recently sent prefix is expected only on that engine incarnation and for a limited time") {
   PlacementMemory memory{Knobs{}};
   memory.recordSent(lifeOf(1), chainOf(1000, 100), 1600, kNow);
   BlockChain related = chainOf(1000, 40);
@@ -37,7 +38,7 @@
   CHECK(memory.markCount() == 0);
 }
 
-TEST_CASE("only load brought after the engine's report is added to it") {
+TEST_CASE("only load added after the engine's report is counted on top of it") {
   PlacementMemory memory{Knobs{}};
   memory.recordSent(lifeOf(1), chainOf(1000, 10), 160, kNow);
   memory.recordSent(lifeOf(1), chainOf(2000, 10), 100, kNow + Duration(10));
@@ -52,18 +53,18 @@
   CHECK(memory.loadAddedSince(lifeOf(1), report).streams == -1);
 }
 
-TEST_CASE("an engine that was idle between two requests did not work on the second one") {
+TEST_CASE("time in which the engine was idle does not reduce the queue of a later request") {
   PlacementMemory memory{Knobs{}};
   EngineLoad report;
   report.measuredAt = kNow;
   report.prefillTokensPerSecond = 10000;
-  report.queuedPrefillTokens = 1000;  // Done after 0.1 s.
+  report.queuedPrefillTokens = 1000;  // Prefilled after 0.1 s.
   memory.recordSent(lifeOf(1), chainOf(1000, 10), 500, kNow + Duration(300000));
-  // 0.2 s of idling count as 2,000 tokens, so that 1,000 + 2,500 - 3,000 = 500 are left.
+  // 0.2 s of idle time count as 2,000 tokens, so that 1,000 + 2,500 - 3,000 = 500 tokens remain.
   CHECK(memory.loadAddedSince(lifeOf(1), report).prefillTokens == 2500);
 }
 
-TEST_CASE("the memory of prefixes is bounded") {
+TEST_CASE("the number of remembered prefixes is bounded") {
   Knobs knobs;
   knobs.placementMarks = 100;
   PlacementMemory memory(knobs);
--- a/test/routing/routing_policy_test.cpp
+++ b/test/routing/routing_policy_test.cpp
@@ -66,13 +66,13 @@
   }
 }
 
-TEST_CASE("an unknown policy is refused with the names that exist") {
+TEST_CASE("an unknown policy is rejected with the list of known names") {
   const auto result = makeRoutingPolicy("fastest", Knobs{});
   REQUIRE_FALSE(isOk(result));
   CHECK(errorOf(result).message.find("least_expected_time") != std::string::npos);
 }
 
-TEST_CASE("round robin takes each engine once in a turn") {
+TEST_CASE("round robin chooses each engine once per cycle") {
   auto policy = policyOf("round_robin");
   Random random(1);
   const BlockChain chain = chainOf(1);
@@ -83,7 +83,7 @@
   CHECK(seen.size() == 5);
 }
 
-TEST_CASE("load-only policies avoid the loaded engine") {
+TEST_CASE("load-based policies avoid the loaded engine") {
   const BlockChain chain = chainOf(1);
   Random random(3);
   auto candidates = candidatesOf(2);
@@ -99,7 +99,7 @@
         0);
 }
 
-TEST_CASE("a prefix has one home, and losing another engine does not move it") {
+TEST_CASE("a prefix has one home, and removing another engine does not change it") {
   const BlockChain chain = chainOf(5);
   Random random(3);
   auto policy = policyOf("prefix_rendezvous");
@@ -112,7 +112,7 @@
   CHECK(candidates[again].engine.id == home);
 }
 
-TEST_CASE("bounded rendezvous passes over a home that has too many requests") {
+TEST_CASE("bounded rendezvous skips a home that has too many requests") {
   const BlockChain chain = chainOf(5);
   Random random(3);
   auto policy = policyOf("bounded_prefix_rendezvous");
@@ -122,7 +122,7 @@
   CHECK(policy->choose(requestOf(chain), candidates, kNow, random).candidate != home);
 }
 
-TEST_CASE("two-thinning refuses the home only over the threshold") {
+TEST_CASE("two-thinning rejects the home only above the threshold") {
   const BlockChain chain = chainOf(5);
   Random random(3);
   auto policy = policyOf("two_thinning");
@@ -135,7 +135,7 @@
   for (int turn = 0; turn < 100; ++turn) {
     drawn.insert(policy->choose(requestOf(chain), candidates, kNow, random).candidate);
   }
-  CHECK(drawn.size() == 6);  // Unseen: even the refused one may be drawn.
+  CHECK(drawn.size() == 6);  // The rejected home may be drawn as well.
 }
 
 TEST_CASE("least expected time weighs the queue against recomputing the prefix") {
@@ -144,7 +144,7 @@
   auto policy = policyOf("least_expected_time");
   auto candidates = candidatesOf(2);
   RoutingRequest request = requestOf(chain);
-  request.deadlineClass = DeadlineClass::kDeferred;  // The whole queue lies before it.
+  request.deadlineClass = DeadlineClass::kDeferred;  // The whole queue is served first.
   candidates[0].matchedBlocks = 90;
   candidates[0].engine.load.queuedPrefillTokens = 1000;
   CHECK(policy->choose(request, candidates, kNow, random).candidate == 0);
@@ -157,7 +157,8 @@
   CHECK(policy->choose(audit, candidates, kNow, random).candidate == 0);
 }
 
-TEST_CASE("least expected time spreads streams and puts interactive work before the queue's rest") {
+TEST_CASE(
+    "least expected time spreads streams and counts only part of the queue for interactive work") {
   const BlockChain chain = chainOf(5);
   Random random(3);
   auto policy = policyOf("least_expected_time");
@@ -173,7 +174,7 @@
   CHECK(policy->choose(deferred, candidates, kNow, random).candidate == 1);
 }
 
-TEST_CASE("least expected time sends a new prefix to one place and a full batch none") {
+TEST_CASE("least expected time sends a new prefix to one engine and nothing to a full batch") {
   const BlockChain chain = chainOf(9);
   Random random(3);
   auto policy = policyOf("least_expected_time");
