--- a/src/routing/routing_policy.h
+++ b/src/routing/routing_policy.h
@@ -19,8 +19,10 @@
 /// An engine that could serve the request, with its expected cache match for this prompt.
 struct EngineCandidate {
   EngineState engine;
-  int64_t matchedBlocks = 0;        ///< Leading blocks believed to be cached there; may be wrong.
-  bool matchKnown = false;          ///< False if no owner of the prefix blocks answered in time.
+  /// Leading blocks believed to be cached there by the node that owns the engine, or expected from
+  /// this node's own placements; may be wrong.
+  int64_t matchedBlocks = 0;
+  bool matchKnown = false;          ///< False if no owner of the engine answered in time.
   int64_t placedPrefillTokens = 0;  ///< Sent by this node since the load was measured.
   int64_t placedStreams = 0;        ///< Requests started minus ended by this node since.
 };
@@ -49,7 +51,7 @@
   /// @return the policy's name in settings and reports, e.g. "least_expected_time".
   virtual std::string name() const = 0;
   /// @param candidates must not be empty.
-  /// @param random source of randomness; not shared between threads.
+  /// @param random the caller's random number generator.
   virtual RoutingChoice choose(const RoutingRequest& request,
                                const std::vector<EngineCandidate>& candidates, Time now,
                                Random& random) = 0;
