--- a/src/backends/backend_set.cpp
+++ b/src/backends/backend_set.cpp
@@ -10,25 +10,26 @@
 
 namespace {
 
-/// Memory of a back end's failures and successes.
+/// Half-life of the counts of a back end's failures and successes.
 constexpr Duration kOutcomeHalfLife{3000000};
-/// Failures that count before a back end is left alone.
-constexpr double kFewestFailures = 2.5;
-/// Share of recent requests that must have failed.
-constexpr double kFailureShare = 0.25;
+/// Minimum decayed number of failures for an ejection.
+constexpr double kMinFailures = 2.5;
+/// Minimum share of failures among recent requests for an ejection.
+constexpr double kMinFailureRatio = 0.25;
 constexpr Duration kFirstEjection{1500000};
-constexpr int kLongestEjectionDoublings = 2;
-/// A back end that leaves is the last resort for this part of its bound: requests that are sent
-/// then reach it and end within the rest.
+constexpr int kMaxEjectionDoublings = 2;
+/// A leaving back end may be used as a last resort during the first half of the drain bound, so
+/// that requests sent then still arrive and end within the other half.
 constexpr int kLastResortDivisor = 2;
-/// Entries may be missing for as long as the store is away.
-constexpr Duration kUnlistedMemory{600000000};
-/// Other nodes are told of a back end that leaves until its entry is gone for so long.
-constexpr Duration kToldUnlisted{30000000};
-/// Of a back end that leaves and of which nobody knows since when.
-constexpr Time kLongAgo{-std::chrono::hours(24)};
-/// A rest that ends later by less is not worth telling.
-constexpr Duration kWorthTelling{100000};
+/// Statements of unlisted incarnations are kept this long, as entries may be missing for the
+/// duration of a store outage.
+constexpr Duration kUnlistedRetention{600000000};
+/// Other nodes are informed about a leaving back end until it has been unlisted for this long.
+constexpr Duration kUnlistedAnnouncement{30000000};
+/// Assumed start of leaving if it is unknown.
+constexpr Time kUnknownStart{-std::chrono::hours(24)};
+/// A rest is announced again only if its end moved by more than this.
+constexpr Duration kMinRestExtension{100000};
 
 }  // namespace
 
@@ -57,13 +58,13 @@
   const uint64_t incarnation = incarnationHash(listing);
   if (listing.isDraining) {
     std::optional<Time>& since = stated_[incarnation].withdrawal.leavingSince;
-    const Time listedSince = listing.notListedAt.value_or(kLongAgo);
+    const Time listedSince = listing.notListedAt.value_or(kUnknownStart);
     since = since ? std::min(*since, listedSince) : listedSince;
   }
   auto merged = std::make_shared<BackendListing>(listing);
-  // An entry that is older than what the back end said in its answers does not take it back.
+  // The entry may be older than the back end's answers and must not undo what they stated.
   merged->isDraining = isLeaving(incarnation);
-  // The list lags behind what answers and moves have told: versions of one incarnation only rise.
+  // The list lags behind answers and moves. Versions of one incarnation only rise.
   for (HeldWeights& held : merged->weights) {
     const uint64_t known = entry.listing ? heldVersion(*entry.listing, held.model) : 0;
     held.version = std::max(held.version, known);
@@ -130,9 +131,9 @@
     view.listing = entry.listing;
     view.inFlight = entry.inFlight;
     view.pendingTokens = entry.pendingTokens;
-    const bool isSpared =
+    const bool isSparedForOthers =
         stated.sparedUntil != Time() && now < stated.sparedUntil + bounds_.returnDelay;
-    view.isAvoided = now < entry.avoidedUntil || isSpared;
+    view.isAvoided = now < entry.avoidedUntil || isSparedForOthers;
     view.isLeaving = stated.leavingSince.has_value();
     view.restsUntil = stated.restsUntil;
     view.incarnation = entry.incarnation;
@@ -195,7 +196,7 @@
   }
 }
 
-void BackendSet::judge(Entry& entry, BackendVerdict verdict, Time now) {
+void BackendSet::recordOutcome(Entry& entry, BackendVerdict verdict, Time now) {
   if (verdict == BackendVerdict::kNeutral) {
     return;
   }
@@ -209,11 +210,11 @@
   }
   entry.failures += 1;
   const double share = entry.failures / (entry.failures + entry.served);
-  if (entry.failures >= kFewestFailures && share >= kFailureShare) {
-    const int doublings = std::min(entry.ejections, kLongestEjectionDoublings);
+  if (entry.failures >= kMinFailures && share >= kMinFailureRatio) {
+    const int doublings = std::min(entry.ejections, kMaxEjectionDoublings);
     entry.avoidedUntil = std::max(entry.avoidedUntil, now + kFirstEjection * (1 << doublings));
     ++entry.ejections;
-    entry.failures = kFewestFailures / 2;
+    entry.failures = kMinFailures / 2;
     entry.served = 0;
   }
 }
@@ -225,7 +226,7 @@
     return;
   }
   found->second.inFlight = std::max(0, found->second.inFlight - 1);
-  judge(found->second, verdict, now);
+  recordOutcome(found->second, verdict, now);
 }
 
 template <class Rule>
@@ -267,11 +268,12 @@
     return;
   }
   BackendListing listing = *found->second.listing;
-  // An entry that does not tell a start may be of this incarnation; one that does is of a former.
+  // An entry without a start time may belong to this incarnation; one with an earlier start time
+  // belongs to a former one, whose drain mark does not apply.
   listing.isDraining = listing.isDraining && listing.startedAt == 0;
   listing.startedAt = startedAt;
   for (HeldWeights& held : listing.weights) {
-    held.version = 0;  // Of the former incarnation.
+    held.version = 0;  // Was held by the former incarnation.
   }
   merge(found->second, listing);
 }
@@ -297,23 +299,23 @@
 bool BackendSet::noteLeaving(uint64_t incarnation, Time since) {
   const std::lock_guard<std::mutex> lock(mutex_);
   std::optional<Time>& known = stated_[incarnation].withdrawal.leavingSince;
-  const bool isNews = !known;
+  const bool isNew = !known;
   known = known ? std::min(*known, since) : since;
-  if (isNews) {
+  if (isNew) {
     listAsDraining(incarnation);
   }
-  return isNews;
+  return isNew;
 }
 
 bool BackendSet::noteRest(uint64_t incarnation, Time until, RestOf whom) {
   const std::lock_guard<std::mutex> lock(mutex_);
   Withdrawal& known = stated_[incarnation].withdrawal;
-  const bool isNews = until > known.sparedUntil + kWorthTelling;
+  const bool isNew = until > known.sparedUntil + kMinRestExtension;
   known.sparedUntil = std::max(known.sparedUntil, until);
   if (whom == RestOf::kThisNode) {
     known.restsUntil = std::max(known.restsUntil, until);
   }
-  return isNews;
+  return isNew;
 }
 
 std::optional<Withdrawal> BackendSet::withdrawal(uint64_t incarnation, Time now) const {
@@ -331,7 +333,7 @@
   const std::lock_guard<std::mutex> lock(mutex_);
   std::vector<uint64_t> found;
   for (const auto& [incarnation, stated] : stated_) {
-    const bool isGone = stated.listedAt != Time() && now - stated.listedAt > kToldUnlisted;
+    const bool isGone = stated.listedAt != Time() && now - stated.listedAt > kUnlistedAnnouncement;
     const bool leaves = stated.withdrawal.leavingSince && !isGone;
     if (leaves || stated.withdrawal.sparedUntil > now) {
       found.push_back(incarnation);
@@ -387,11 +389,11 @@
   for (auto each = stated_.begin(); each != stated_.end();) {
     Stated& stated = each->second;
     if (stated.listedAt == Time()) {
-      stated.listedAt = now;  // Heard of before its entry was.
+      stated.listedAt = now;  // The statement arrived before the entry.
     }
     const bool isOver = !stated.withdrawal.leavingSince &&
                         stated.withdrawal.sparedUntil + bounds_.returnDelay < now;
-    const bool isLongGone = now - stated.listedAt > kUnlistedMemory;
+    const bool isLongGone = now - stated.listedAt > kUnlistedRetention;
     each = isOver || isLongGone ? stated_.erase(each) : std::next(each);
   }
 }
--- a/src/backends/backend_set.h
+++ b/src/backends/backend_set.h
@@ -1,7 +1,7 @@
 /// @file
-/// Back ends as this node knows them: who is there, which weights each holds, what this node has
-/// running there, and which of them it leaves alone: those that failed lately for a while, those
-/// that asked for rest until its end, those that leave for good.
+/// The back ends known to this node: which are listed, the weights each one holds, this node's
+/// requests in flight on each, and which ones it avoids. A back end that failed recently is avoided
+/// for a while, one that asked for rest until the rest ends, one that is leaving permanently.
 #pragma once
 
 #include <cstdint>
@@ -19,70 +19,72 @@
 
 namespace fernmoor {
 
-/// Weights held of one model.
+/// The version of one model's weights that a back end holds.
 struct HeldWeights {
   std::string model;
   uint64_t version = 0;
 };
 
-/// What the list of back ends says of one of them. Id and start together name one incarnation.
+/// An entry in the list of back ends. Id and start time together identify one incarnation.
 struct BackendListing {
   std::string id;
-  int64_t startedAt = 0;  ///< Unix time in ms, as the back end tells it; 0: not told.
+  int64_t startedAt = 0;  ///< Unix time in ms, as the back end reports it; 0: not reported.
   std::string pool;
   SocketAddress address;
   std::string zone;
   int slots = 0;
   bool isDraining = false;
   std::vector<HeldWeights> weights;
-  /// An instant at which the store did not hold this entry yet; nothing: not known.
+  /// A time at which the store did not have this entry yet; nothing: unknown.
   std::optional<Time> notListedAt;
 };
 
-/// @return a hash of the incarnation, equal on all nodes: what is known of a back end ends with it.
+/// @return a hash of the incarnation, equal on all nodes. State kept about a back end is keyed by
+///         it, so it does not carry over to the next incarnation.
 uint64_t incarnationHash(const BackendListing& listing);
 
-/// @return the version of the model's weights that it lists; 0: none.
+/// @return the listed version of the model's weights; 0: none.
 uint64_t heldVersion(const BackendListing& listing, const std::string& model);
 
-/// One back end as a choice sees it.
+/// Snapshot of one back end for the choice of where to send a request.
 struct BackendView {
   std::shared_ptr<const BackendListing> listing;  ///< Never null.
   uint64_t incarnation = 0;                       ///< incarnationHash().
-  int inFlight = 0;                               ///< Requests of this node that run there.
+  int inFlight = 0;                               ///< This node's requests in flight.
   uint64_t pendingTokens = 0;   ///< Prompt tokens of this node's requests without a first event.
-  bool isAvoided = false;       ///< Failed lately, is taking new weights, or other nodes spare it.
-  bool isLeaving = false;       ///< It says that it leaves; it still serves for a moment.
-  Time restsUntil;              ///< It asked this node to send it nothing before then.
-  uint64_t weightsVersion = 0;  ///< Of the asked model; 0: unknown.
+  bool isAvoided = false;       ///< Failed recently, is loading weights, or rests for other nodes.
+  bool isLeaving = false;       ///< It stated that it is leaving, but may still be used briefly.
+  Time restsUntil;              ///< It asked this node to send nothing before this time.
+  uint64_t weightsVersion = 0;  ///< Of the requested model; 0: unknown.
 };
 
-/// What one incarnation of a back end states about whether it takes requests at all.
+/// What one incarnation of a back end stated about not accepting requests.
 struct Withdrawal {
-  /// When a node was first told that it leaves, which never ends; nothing: it did not say so.
+  /// When a node first received the statement that it is leaving, which is never withdrawn;
+  /// nothing: it made no such statement.
   std::optional<Time> leavingSince;
-  Time restsUntil;   ///< End of the rest that it asked this node for.
-  Time sparedUntil;  ///< End of the rest that it asked any node for.
+  Time restsUntil;   ///< End of the rest that it requested from this node.
+  Time sparedUntil;  ///< End of the rest that it requested from any node.
 };
 
-/// Listed back ends that take no requests of this node.
+/// Numbers of listed back ends that are leaving, and that rest for this node.
 struct WithdrawnCounts {
   size_t leaving = 0;
   size_t resting = 0;
 };
 
-/// Whom a back end asked for rest.
+/// Which node a back end asked for rest.
 enum class RestOf { kThisNode, kOtherNode };
 
 struct BackendSetBounds {
-  /// A back end that says that it leaves gets no request later than this.
+  /// A leaving back end gets no request later than this after its statement.
   Duration drain{2000000};
-  /// By so much this node is later than the first one to use a back end again that asked others for
-  /// rest, so that not all come back at once.
+  /// Time that this node waits after the end of a rest that a back end requested from another node.
+  /// It differs between nodes, so that not all of them resume at once.
   Duration returnDelay{0};
 };
 
-/// How a request at a back end ended, as far as it tells of the back end's health.
+/// What the end of a request says about the health of its back end.
 enum class BackendVerdict { kServed, kFailed, kNeutral };
 
 /// Thread-safe.
@@ -90,61 +92,63 @@
  public:
   explicit BackendSet(BackendSetBounds bounds = {}) : bounds_(bounds) {}
 
-  /// Replaces the whole list. Of a back end that started again under its id, here and in update(),
-  /// nothing is kept that was known before; an entry older than the known start is not taken.
+  /// Replaces the whole list. Here and in update(), a later start time discards all state of the
+  /// former incarnation, and an entry with an earlier start time than the known one is ignored.
   void replaceAll(const std::vector<BackendListing>& listings, Time now);
   void update(const BackendListing& listing, Time now);
   void remove(const std::string& id);
-  /// Notes that the store lost the entry: it is removed unless it is written again by then.
+  /// Schedules the removal of an entry that the store lost; a new write of the entry cancels it.
   void removeAt(const std::string& id, Time when);
 
-  /// @return the members of the pool, with the version of `model`: those too that rest, and those
-  ///         that leave while a request may still be sent there.
+  /// @return the members of the pool, with their versions of `model`. Includes resting members, and
+  ///         leaving ones while requests may still be sent there.
   std::vector<BackendView> membersOf(const std::string& pool, const std::string& model,
                                      Time now) const;
-  /// @return every back end that is listed, draining or not.
+  /// @return all listed back ends, including draining ones.
   std::vector<BackendListing> all() const;
-  /// @return nothing where it is not listed.
+  /// @return the entry; nothing if the back end is not listed.
   std::optional<BackendListing> find(const std::string& id) const;
-  /// @return the id of a listed incarnation; empty where it is not listed.
+  /// @return the id of an incarnation; empty if it is not listed.
   std::string idOf(uint64_t incarnation) const;
   size_t size() const;
   /// @return whether the back end is listed and not draining.
   bool isUsable(const std::string& id) const;
 
-  /// Notes a request that was sent there.
+  /// Records that a request was sent to the back end.
   void started(const std::string& id, uint64_t promptTokens);
-  /// Notes that the request's prompt was read.
+  /// Records that the back end has read the request's prompt.
   void promptRead(const std::string& id, uint64_t promptTokens);
   void ended(const std::string& id, BackendVerdict verdict, Time now);
-  /// Notes which weights the back end holds, from an answer of its own or a move.
+  /// Records the version that the back end holds, from one of its answers or a move. The recorded
+  /// version never falls.
   void noteWeights(const std::string& id, const std::string& model, uint64_t version);
-  /// Sets what the back end itself stated while it turned a request away; may be lower.
+  /// Sets the version that the back end stated when it rejected a request; may be lower than the
+  /// recorded one. A model that is not listed stays unlisted.
   void correctWeights(const std::string& id, const std::string& model, uint64_t version);
-  /// Notes when the back end started, as it told itself: its entry in the list may lag.
+  /// Records the start time that the back end itself reported: its entry in the list may lag.
   void noteStart(const std::string& id, int64_t startedAt);
-  /// Leaves the back end alone until then, e.g. while it takes new weights.
+  /// Avoids the back end until the given time, e.g. while it loads new weights.
   void avoidUntil(const std::string& id, Time until);
 
-  // What incarnations state of themselves, listed or not: an entry may be missing for a while, and
-  // one that is older than the statement must not undo it.
+  // Statements of incarnations, whether they are listed or not: an entry may be missing for a
+  // while, and an entry older than the statement must not undo it.
 
-  /// Notes that a back end says that it leaves.
-  /// @param since when a node was told.
-  /// @return whether it was not known.
+  /// Records the statement of a back end that it is leaving.
+  /// @param since when a node received the statement.
+  /// @return whether it is new.
   bool noteLeaving(uint64_t incarnation, Time since);
-  /// Notes that a back end asked for rest; one that ends earlier than another changes nothing.
-  /// @return whether it tells more than was known.
+  /// Records that a back end asked for rest. A rest that ends before a known one changes nothing.
+  /// @return whether it ends enough later than the known one to be announced.
   bool noteRest(uint64_t incarnation, Time until, RestOf whom);
-  /// @return what the back end states now; nothing where it takes requests.
+  /// @return the statements in effect; nothing if the back end accepts requests.
   std::optional<Withdrawal> withdrawal(uint64_t incarnation, Time now) const;
-  /// @return back ends that leave or rest, of which other nodes are to be told.
+  /// @return the leaving and resting incarnations to announce to other nodes, sorted.
   std::vector<uint64_t> withdrawn(Time now) const;
   WithdrawnCounts withdrawnCounts(Time now) const;
   /// @return whether a request may still be sent to the listed incarnation now.
   bool takesRequests(const BackendListing& listing, Time now) const;
-  /// Removes entries whose time is over, and forgets rests that ended and what back ends stated
-  /// that left the list long ago.
+  /// Removes entries whose scheduled removal is due, rests that ended, and statements of
+  /// incarnations that have been unlisted for long.
   void forgetOld(Time now);
 
  private:
@@ -158,26 +162,26 @@
     Time countedAt;
     Time avoidedUntil;
     int ejections = 0;
-    std::optional<Time> removedAt;  ///< Set where the store lost it.
+    std::optional<Time> removedAt;  ///< Due time of the removal if the store lost the entry.
   };
 
-  /// Lists another version of the model for the back end. Call with the lock held.
-  /// @param rule gives the new version from the one listed, 0 where none is.
+  /// Changes the listed version of the model. Call with the lock held.
+  /// @param rule maps the listed version, 0 if there is none, to the new one.
   template <class Rule>
   void setWeights(const std::string& id, const std::string& model, Rule rule);
   void merge(Entry& entry, const BackendListing& listing);
-  void judge(Entry& entry, BackendVerdict verdict, Time now);
+  void recordOutcome(Entry& entry, BackendVerdict verdict, Time now);
   /// Call with the lock held.
   bool isLeaving(uint64_t incarnation) const;
-  /// Call with the lock held. Lists the back end as draining from now on.
+  /// Marks the entry of the incarnation as draining. Call with the lock held.
   void listAsDraining(uint64_t incarnation);
-  /// Call with the lock held. @return whether a back end that leaves still gets requests.
+  /// @return whether a leaving back end may still get requests. Call with the lock held.
   bool mayStillServe(const Withdrawal& stated, Time now) const;
 
-  /// What is stated, and until when it is kept.
+  /// The statements of one incarnation, and the time that decides when they are dropped.
   struct Stated {
     Withdrawal withdrawal;
-    Time listedAt;  ///< When it was in the list last, by looks of forgetWithdrawn().
+    Time listedAt;  ///< When forgetOld() last found it in the list.
   };
 
   const BackendSetBounds bounds_;
--- a/src/backends/growing_pause.h
+++ b/src/backends/growing_pause.h
@@ -1,6 +1,7 @@
 /// @file
-/// Pauses between tries of a call that fails: each is up to twice the one before, and drawn at
-/// random between half of it and the whole, so that many nodes do not try in step.
+/// Exponential backoff with jitter for a call that fails. The upper limit doubles with each failure
+/// up to a maximum, and each pause is drawn at random between half of the limit and the limit, so
+/// that nodes do not retry in lockstep.
 #pragma once
 
 #include <algorithm>
@@ -16,7 +17,7 @@
   GrowingPause(Duration first, Duration longest, uint64_t seed)
       : first_(first), longest_(longest), next_(first), random_(seed) {}
 
-  /// @return how long to wait before the next try.
+  /// @return the time to wait before the next attempt.
   Duration afterFailure() {
     const Duration pause = random_.between(next_ / 2, next_);
     next_ = std::min(longest_, next_ * 2);
--- a/src/backends/revision_times.cpp
+++ b/src/backends/revision_times.cpp
@@ -8,8 +8,8 @@
 
 namespace {
 
-/// Readers note two a second: enough for news that are half a minute late.
-constexpr size_t kTimesKept = 64;
+/// Readers record two entries per second, so this covers changes that are seen up to 30 s late.
+constexpr size_t kMaxTimes = 64;
 
 }  // namespace
 
@@ -43,21 +43,21 @@
   if (!times_.empty() && eraOf(seen.revision) > eraOf(times_.back().revision)) {
     noteChangeLocked(eraOf(seen.revision), EraChange{times_.back(), seen.at});
   }
-  const auto tellsMore = [&](const RevisionTime& known) {
+  const auto isStronger = [&](const RevisionTime& known) {
     return known.revision <= seen.revision && known.at >= seen.at;
   };
-  if (std::any_of(times_.begin(), times_.end(), tellsMore)) {
+  if (std::any_of(times_.begin(), times_.end(), isStronger)) {
     return;
   }
-  const auto tellsLess = [&](const RevisionTime& known) {
+  const auto isWeaker = [&](const RevisionTime& known) {
     return known.revision >= seen.revision && known.at <= seen.at;
   };
-  times_.erase(std::remove_if(times_.begin(), times_.end(), tellsLess), times_.end());
+  times_.erase(std::remove_if(times_.begin(), times_.end(), isWeaker), times_.end());
   const auto place = std::find_if(times_.begin(), times_.end(), [&](const RevisionTime& known) {
     return known.revision > seen.revision;
   });
   times_.insert(place, seen);
-  if (times_.size() > kTimesKept) {
+  if (times_.size() > kMaxTimes) {
     times_.pop_front();
   }
 }
@@ -70,9 +70,9 @@
       latest = known.at;
     }
   }
-  const bool mayBeWrittenAgain = latest && change_ && changedTo_ == eraOf(revision) &&
-                                 *latest < change_->seenAt + kWrittenAgain;
-  return mayBeWrittenAgain ? std::min(*latest, change_->lastBefore.at) : latest;
+  const bool mayBeRewrite = latest && change_ && changedTo_ == eraOf(revision) &&
+                            *latest < change_->seenAt + kWrittenAgain;
+  return mayBeRewrite ? std::min(*latest, change_->lastBefore.at) : latest;
 }
 
 std::optional<RevisionTime> RevisionTimes::newest() const {
--- a/src/backends/revision_times.h
+++ b/src/backends/revision_times.h
@@ -1,12 +1,12 @@
 /// @file
-/// How far the operators' store had come at which instants, by its one counter of changes. An
-/// object that bears a later revision than the store had at an instant was written after it,
-/// however late anybody is told: so what was written when is known without trusting how news
-/// travel.
+/// Records which revision the operators' store had at which times. The store has one revision
+/// counter for all changes, so an object with a higher revision than the store had at some time was
+/// written after that time. This bounds the age of an object independently of how late a node
+/// learns of it.
 ///
-/// Revisions bear the store's era (common/store_revision.h). What it holds soon after it came back
-/// from an old copy may have been written before and lost, and was acknowledged then: it is dated
-/// by the last that is known of the era before.
+/// Revisions contain the store's era (common/store_revision.h). An object found soon after the
+/// store was restored from an old copy may be a rewrite of one that was lost in the restore and had
+/// been acknowledged earlier, so its age is counted from the last known time of the era before.
 #pragma once
 
 #include <atomic>
@@ -19,40 +19,41 @@
 
 namespace fernmoor {
 
-/// What the store lost as it came back from an old copy is written again within this after that.
+/// Objects lost when the store was restored from an old copy are written again within this time.
 inline constexpr Duration kWrittenAgain{3000000};
 
-/// The store had not gone beyond the revision at the instant.
+/// At time `at` the store had at most this revision.
 struct RevisionTime {
   uint64_t revision = 0;
   Time at;
 };
 
-/// When the store came back from an old copy, as far as that is known.
+/// What is known about a restore of the store from an old copy.
 struct EraChange {
-  RevisionTime lastBefore;  ///< The latest that is known of the era before.
-  Time seenAt;              ///< When the present era was seen first by any node.
+  RevisionTime lastBefore;  ///< The latest entry known from the era before.
+  Time seenAt;              ///< When any node first saw the current era.
 };
 
 /// Thread-safe.
 class RevisionTimes {
  public:
-  /// @param seen of an answer of the store: its revision, and when the call began; or the same as
-  ///        another node knows it.
+  /// Records a revision and a time.
+  /// @param seen the revision in an answer of the store and the start time of the call, observed by
+  ///        this node or another one.
   void note(const RevisionTime& seen);
-  /// @return an instant at which nothing with that revision was written yet, the latest that is
-  ///         known; nothing if none is.
+  /// @return the latest known time at which that revision had not been written yet; nothing if no
+  ///         such time is known.
   std::optional<Time> notBefore(uint64_t revision) const;
-  /// @return what is known of the latest instant.
+  /// @return the entry with the latest time.
   std::optional<RevisionTime> newest() const;
-  /// Notes that another node told what it knows.
+  /// Records that another node has shared its entries.
   void noteTold() { wasTold_ = true; }
-  /// @return whether any other node told what it knows.
+  /// @return whether any other node has shared its entries.
   bool wasTold() const { return wasTold_; }
-  /// Notes an era change as another node knows it.
-  /// @param era that began with it.
+  /// Merges an era change reported by another node.
+  /// @param era the era that began with it.
   void noteChange(uint64_t era, const EraChange& change);
-  /// @return how the present era began; nothing where none is known before it.
+  /// @return the start of the current era; nothing if no earlier era is known.
   std::optional<EraChange> change() const;
 
  private:
@@ -61,8 +62,8 @@
 
   std::atomic<bool> wasTold_{false};
   mutable std::mutex mutex_;
-  std::deque<RevisionTime> times_;  ///< Rising in both.
-  uint64_t changedTo_ = 0;          ///< The era that `change_` is of.
+  std::deque<RevisionTime> times_;  ///< Sorted; both revision and time rise.
+  uint64_t changedTo_ = 0;          ///< The era that began with `change_`.
   std::optional<EraChange> change_;
 };
 
--- a/src/backends/wanted_weights.cpp
+++ b/src/backends/wanted_weights.cpp
@@ -8,57 +8,59 @@
 
 namespace {
 
-constexpr size_t kVersionsKept = 64;
-/// A request may wait at its engine for so long before it begins.
+constexpr size_t kMaxVersionsPerModel = 64;
+/// Longest time that a request waits at its engine before it begins.
 constexpr Duration kBeginMargin{1000000};
-/// What another node knows of a version's time is taken only where it is later by so much; less is
-/// the time that questions are on their way.
-constexpr Duration kWorthLearning{50000};
-/// Other nodes are told of a version for so many times its bound: an outage of the store may have
-/// made the bound longer.
-constexpr int kBoundsTold = 3;
+/// A time reported by another node replaces the known one only if it is later by more than this;
+/// smaller differences come from the transit time of the query.
+constexpr Duration kMinTimeGain{50000};
+/// A version is announced to other nodes for this many times its bound, as an outage of the store
+/// may have extended the bound.
+constexpr int kAnnouncedBounds = 3;
 
 std::string milliseconds(Duration time) {
   return std::to_string(time.count() / 1000) + " ms";
 }
 
-void tellNamed(const std::string& model, const NamedVersion& named, bool isTold, Time now) {
-  const std::string since = named.notBefore ? "at most " + milliseconds(now - *named.notBefore) +
-                                                  " ago" + (isTold ? ", as another node knows" : "")
-                                            : "nobody here knows when";
+void logNamed(const std::string& model, const NamedVersion& named, bool isFromPeer, Time now) {
+  const std::string since = named.notBefore
+                                ? "at most " + milliseconds(now - *named.notBefore) + " ago" +
+                                      (isFromPeer ? ", as another node knows" : "")
+                                : "nobody here knows when";
   logInfo("weights: version " + std::to_string(named.version) + " of " + model + " named, " +
           since + ", its bound ends in " + milliseconds(named.dueAt - now));
 }
 
-void tellExtended(const std::string& model, uint64_t version, Duration by) {
+void logExtended(const std::string& model, uint64_t version, Duration by) {
   logInfo("weights: the store is away, the bound of version " + std::to_string(version) + " of " +
           model + " ends " + milliseconds(by) + " later");
 }
 
 }  // namespace
 
-Time WantedWeights::plainDueAt(std::optional<Time> notBefore) const {
+Time WantedWeights::unextendedDueAt(std::optional<Time> notBefore) const {
   return notBefore ? *notBefore + bounds_.inForce : bounds_.heldFrom;
 }
 
 Time WantedWeights::dueAtOf(std::optional<Time> notBefore) const {
-  const Time due = plainDueAt(notBefore);
+  const Time due = unextendedDueAt(notBefore);
   const bool isExtended =
-      storeAwayAt_ && (!notBefore || (*notBefore < *storeAwayAt_ && *storeAwayAt_ < due));
-  return isExtended ? std::max(due, *storeAwayAt_ + bounds_.inForce) : due;
+      storeUnavailableAt_ &&
+      (!notBefore || (*notBefore < *storeUnavailableAt_ && *storeUnavailableAt_ < due));
+  return isExtended ? std::max(due, *storeUnavailableAt_ + bounds_.inForce) : due;
 }
 
-void WantedWeights::noteLocked(const std::string& model, const NamedVersion& named, bool isTold,
+void WantedWeights::noteLocked(const std::string& model, const NamedVersion& named, bool isFromPeer,
                                Time now) {
   std::vector<NamedVersion>& versions = named_[model];
   const auto place = std::find_if(versions.begin(), versions.end(), [&](const NamedVersion& each) {
     return each.version >= named.version;
   });
   const bool isKnown = place != versions.end() && place->version == named.version;
-  const bool tellsMore =
-      isKnown && isTold &&
-      (!place->notBefore || *named.notBefore > *place->notBefore + kWorthLearning);
-  if (isKnown && !tellsMore) {
+  const bool isMoreAccurate =
+      isKnown && isFromPeer &&
+      (!place->notBefore || *named.notBefore > *place->notBefore + kMinTimeGain);
+  if (isKnown && !isMoreAccurate) {
     return;
   }
   if (isKnown) {
@@ -66,10 +68,10 @@
   } else {
     versions.insert(place, named);
   }
-  if (versions.size() > kVersionsKept) {
+  if (versions.size() > kMaxVersionsPerModel) {
     versions.erase(versions.begin());
   }
-  tellNamed(model, named, isTold, now);
+  logNamed(model, named, isFromPeer, now);
 }
 
 void WantedWeights::note(const std::string& model, uint64_t version, std::optional<Time> notBefore,
@@ -86,11 +88,11 @@
 
 void WantedWeights::noteStoreAway(Time at) {
   const std::lock_guard<std::mutex> lock(mutex_);
-  storeAwayAt_ = storeAwayAt_ ? std::max(*storeAwayAt_, at) : at;
+  storeUnavailableAt_ = storeUnavailableAt_ ? std::max(*storeUnavailableAt_, at) : at;
   for (auto& model : named_) {
     for (NamedVersion& named : model.second) {
       if (named.dueAt > at && named.dueAt < at + bounds_.inForce) {
-        tellExtended(model.first, named.version, at + bounds_.inForce - named.dueAt);
+        logExtended(model.first, named.version, at + bounds_.inForce - named.dueAt);
         named.dueAt = at + bounds_.inForce;
       }
     }
@@ -111,8 +113,8 @@
   }
   for (const NamedVersion& named : found->second) {
     if (named.version > held) {
-      // Not the end of a bound that an outage has made longer: moves that are late stay urgent.
-      return plainDueAt(named.notBefore);
+      // Without the extension for a store outage, so that late moves stay urgent.
+      return unextendedDueAt(named.notBefore);
     }
   }
   return std::nullopt;
@@ -153,7 +155,7 @@
   std::vector<YoungVersion> young;
   for (const auto& [model, versions] : named_) {
     for (const NamedVersion& named : versions) {
-      if (named.notBefore && now - *named.notBefore < bounds_.inForce * kBoundsTold) {
+      if (named.notBefore && now - *named.notBefore < bounds_.inForce * kAnnouncedBounds) {
         young.push_back(YoungVersion{model, named.version, now - *named.notBefore});
       }
     }
--- a/src/backends/wanted_weights.h
+++ b/src/backends/wanted_weights.h
@@ -1,9 +1,10 @@
 /// @file
-/// Which versions of each model's weights the operators have named, and since when. A version is to
-/// serve all requests within a bound from its acknowledgement; what an engine with an older one
-/// begins after that breaks the bound, whether or not the engine could be moved. So a node sends
-/// nothing there, and knows for every version when its bound ends: where nobody can tell, from the
-/// time on at which a node that was just started is held to bounds.
+/// The desired versions of each model's weights, as named by the operators, and the deadline of
+/// each. All requests must be served by a version, or a newer one, within a bound after the version
+/// was acknowledged. A request that begins on an older version after that violates the bound, even
+/// if the engine could not be moved, so nodes send no requests there. If no node knows when a
+/// version was named, its deadline is the time from which a newly started node must keep the
+/// bounds.
 #pragma once
 
 #include <map>
@@ -16,25 +17,25 @@
 
 namespace fernmoor {
 
-/// One named version.
+/// A desired version.
 struct NamedVersion {
   uint64_t version = 0;
-  /// An instant at which it was not named yet, the latest that is known; nothing: it lay there when
-  /// this node started to look, and no other node has told since when.
+  /// The latest known time at which it had not been named yet; nothing: it already existed at the
+  /// first read of this node, and no other node has reported a time.
   std::optional<Time> notBefore;
-  Time dueAt;  ///< From then on no request may begin on an older one.
+  Time dueAt;  ///< From this time no request may begin on an older version.
 };
 
-/// A version whose bound may not have passed everywhere, as other nodes are told of it.
+/// A version whose bound may not have ended on all nodes, as announced to other nodes.
 struct YoungVersion {
   std::string model;
   uint64_t version = 0;
-  Duration age{};  ///< Since an instant at which it was not named yet.
+  Duration age{};  ///< Time since it was last known not to be named yet.
 };
 
 struct WeightBounds {
   Duration inForce{8000000};  ///< From a version's acknowledgement until it serves all requests.
-  Time heldFrom;              ///< When this node is held to the bound first, after its start.
+  Time heldFrom;              ///< From when this node must keep the bound after its start.
 };
 
 /// Thread-safe.
@@ -42,45 +43,48 @@
  public:
   explicit WantedWeights(WeightBounds bounds) : bounds_(bounds) {}
 
-  /// Notes a version that was found. Of one that is known here it tells nothing: what is found
-  /// again was not named just now.
-  /// @param notBefore an instant at which it was not named yet, or nothing if none is known.
+  /// Records a version that this node found. Has no effect on a known version, which was named
+  /// earlier.
+  /// @param notBefore a time at which it had not been named yet; nothing if none is known.
   void note(const std::string& model, uint64_t version, std::optional<Time> notBefore, Time now);
-  /// Notes an instant at which a version was not named yet, as another node knows it. The latest of
-  /// all that nodes know is the nearest to the truth, and none is beyond it.
+  /// Records a time, reported by another node, at which a version had not been named yet. All such
+  /// times are lower bounds, so the latest one known to any node is the most accurate.
   void learnSince(const std::string& model, uint64_t version, Time notBefore, Time now);
-  /// Notes that the operators' store served nobody at `at`. Engines can't be moved without it, so
-  /// the bounds that had not passed by then count from there.
+  /// Records that the operators' store was unavailable at `at`. Engines can't be moved without the
+  /// store, so bounds that had not ended by then are restarted at `at`.
   void noteStoreAway(Time at);
 
-  /// @return the newest version, 0 if none was named.
+  /// @return the newest version; 0 if none was named.
   uint64_t newest(const std::string& model) const;
-  /// @return by when an engine that holds `held` should hold a newer one; nothing if it may stay.
+  /// @return the deadline by which an engine with version `held` should have a newer one, without
+  ///         extensions for store outages; nothing if there is no newer version.
   std::optional<Time> deadlineFor(const std::string& model, uint64_t held) const;
-  /// @return when the bound ends within which requests may begin on an engine that holds `held`;
-  ///         nothing while nothing newer is named.
+  /// @return the time from which no request may begin on an engine with version `held`; nothing if
+  ///         there is no newer version.
   std::optional<Time> boundEnd(const std::string& model, uint64_t held) const;
-  /// @return the newest version whose bound has passed: what begins on an older one breaks it.
+  /// @return the newest version whose bound has ended: a request that begins on an older version
+  ///         violates it.
   uint64_t dueVersion(const std::string& model, Time now) const;
-  /// @return the lowest version that requests may still be sent to at `now`, with a margin for the
+  /// @return the lowest version to which requests may be sent at `now`, including a margin for the
   ///         time until they begin.
   uint64_t lowestServing(const std::string& model, Time now) const;
-  /// @return versions that were named lately, for nodes that were not there then.
+  /// @return recently named versions, for nodes that joined later.
   std::vector<YoungVersion> youngVersions(Time now) const;
 
  private:
-  /// Call with the lock held. Notes the version where it is not known yet, or where `isTold` tells
-  /// more of its time.
-  void noteLocked(const std::string& model, const NamedVersion& named, bool isTold, Time now);
-  /// @return when the bound of a version ends if the store is not away meanwhile.
-  Time plainDueAt(std::optional<Time> notBefore) const;
-  /// Call with the lock held.
+  /// Records the version if it is unknown, or if another node reported it (`isFromPeer`) with a
+  /// more accurate time. Call with the lock held.
+  void noteLocked(const std::string& model, const NamedVersion& named, bool isFromPeer, Time now);
+  /// @return the end of a version's bound without extensions for store outages.
+  Time unextendedDueAt(std::optional<Time> notBefore) const;
+  /// @return the end of a version's bound, extended if the store was unavailable. Call with the
+  ///         lock held.
   Time dueAtOf(std::optional<Time> notBefore) const;
 
   WeightBounds bounds_;
   mutable std::mutex mutex_;
-  std::optional<Time> storeAwayAt_;                         ///< The newest instant.
-  std::map<std::string, std::vector<NamedVersion>> named_;  ///< By rising version.
+  std::optional<Time> storeUnavailableAt_;                  ///< The latest known time.
+  std::map<std::string, std::vector<NamedVersion>> named_;  ///< Sorted by version.
 };
 
 }  // namespace fernmoor
--- a/src/backends/watch_pace.h
+++ b/src/backends/watch_pace.h
@@ -1,8 +1,7 @@
 /// @file
-/// Bounds how often a watch asks. In a large deployment something changes all the time, so that a
-/// watch that asks anew after each answer costs as many calls as there are changes; asked a few
-/// times a second, it gets many changes with one answer. A change after a quiet time is not held
-/// up.
+/// Limits the rate of a watch's long-poll requests. In a large deployment changes are continuous,
+/// and a watch that asks again right after each answer needs one call per change. At a few calls
+/// per second each answer carries many changes. A change after a quiet period is not delayed.
 #pragma once
 
 #include <algorithm>
@@ -12,13 +11,13 @@
 
 namespace fernmoor {
 
-/// Shortest time between two answers of one watch; the longest that a change is held up by it.
+/// Shortest time between two answers of one watch, and thus the longest delay it adds to a change.
 inline constexpr Duration kWatchInterval{150000};
 
 /// Not thread-safe.
 class WatchPace {
  public:
-  /// @return how long to wait before the watch asks again after an answer.
+  /// @return the time to wait after an answer before the watch asks again.
   Duration afterAnswer(Time now) {
     const Time earliest = lastAnswer_ ? *lastAnswer_ + kWatchInterval : now;
     const Duration pause = std::max(Duration(0), earliest - now);
@@ -27,7 +26,7 @@
   }
 
  private:
-  std::optional<Time> lastAnswer_;  ///< Of the last answer, its pause included.
+  std::optional<Time> lastAnswer_;  ///< Time of the last answer, including the pause after it.
 };
 
 }  // namespace fernmoor
--- a/src/gateway/byte_budget.cpp
+++ b/src/gateway/byte_budget.cpp
@@ -4,9 +4,9 @@
 
 namespace {
 
-/// 22 MB on a machine of 88 MB: five of the longest bodies, or a thousand of 20 KB. Measured
-/// beside it: 11.6 MB for a process without table or requests, 31 KB for each connection that
-/// has carried one; the rest is for tables and other nodes.
+/// 22 MB on a machine with 88 MB: five bodies of the maximum size, or a thousand of 20 KB. Measured
+/// memory use outside this budget: 11.6 MB for a process without a table or requests, and 31 KB for
+/// each connection that has carried a request. The rest is for tables and traffic with other nodes.
 constexpr size_t kCallersPercent = 25;
 
 }  // namespace
--- a/src/gateway/byte_budget.h
+++ b/src/gateway/byte_budget.h
@@ -1,7 +1,7 @@
 /// @file
-/// A budget in bytes for what callers and engines make this process hold: the bodies of all
-/// requests under way, and answers that are held until they are whole. Each is bounded for itself
-/// already; their number times that bound is far more than a machine has.
+/// A budget in bytes for memory that callers and engines make this process use: the bodies of all
+/// requests in flight, and answers that are buffered until they are complete. The size of each is
+/// limited, but their number times that limit far exceeds the memory of a machine.
 #pragma once
 
 #include <atomic>
@@ -9,16 +9,16 @@
 
 namespace fernmoor::gateway {
 
-/// Thread-safe; without locks, since each piece that is read asks it.
+/// Thread-safe. Lock-free, since it is called for each chunk that is read.
 class ByteBudget {
  public:
-  /// @param mostBytes that may be held, in all; 0: unknown, any number may.
+  /// @param mostBytes the total number of bytes that may be held; 0: unlimited.
   explicit ByteBudget(size_t mostBytes) : mostBytes_(mostBytes) {}
 
-  /// Takes all of the bytes or none. @return whether there was room.
+  /// Reserves all of the bytes or none. @return whether there was room.
   bool take(size_t bytes);
   void giveBack(size_t bytes) { held_ -= bytes; }
-  /// @return whether so many more would find room now; nothing is taken.
+  /// @return whether that many more bytes would fit now; reserves nothing.
   bool hasRoom(size_t bytes) const;
   size_t held() const { return held_; }
 
@@ -27,7 +27,7 @@
   std::atomic<size_t> held_{0};
 };
 
-/// What one request holds of a budget; given back when it is destroyed. Not thread-safe.
+/// The share of a budget held by one request, released by the destructor. Not thread-safe.
 class HeldBytes {
  public:
   explicit HeldBytes(ByteBudget& budget) : budget_(budget) {}
@@ -35,10 +35,10 @@
   HeldBytes(const HeldBytes&) = delete;
   HeldBytes& operator=(const HeldBytes&) = delete;
 
-  /// @return whether there was room for so many more.
+  /// Reserves that many more bytes. @return whether there was room.
   bool add(size_t bytes);
   void clear();
-  /// Holds so many instead of what is held now. @return false, with no change, without room.
+  /// Sets the number of bytes held. @return false, with no change, if there is no room.
   bool resize(size_t bytes);
 
  private:
@@ -46,7 +46,8 @@
   size_t bytes_ = 0;
 };
 
-/// @return what bodies and held answers may take of a machine's memory; 0 where that is 0.
+/// @return the bytes of a machine's memory that request bodies and buffered answers may use; 0 if
+///         `limitBytes` is 0.
 size_t callersShare(size_t limitBytes);
 
 }  // namespace fernmoor::gateway
--- a/src/gateway/engine_loads.h
+++ b/src/gateway/engine_loads.h
@@ -1,7 +1,7 @@
 /// @file
-/// What waits and runs at engines, and what they take by what they state. Each node sees
-/// its own requests only, a small part where there are many nodes, so the choice of an engine asks
-/// somebody who counts for all nodes.
+/// The load of engines, and the rate limits that they state. A node sees only its own requests, a
+/// small part of the load in a large deployment, so the choice of an engine queries an
+/// implementation that counts the requests of all nodes.
 #pragma once
 
 #include <cstdint>
@@ -12,46 +12,47 @@
 
 namespace fernmoor::gateway {
 
-/// What one engine can hold at once; 0 where it is not known.
+/// Capacity of one engine; 0 where unknown.
 struct EngineRoom {
-  uint32_t places = 0;        ///< Requests in its batch.
-  uint64_t memoryTokens = 0;  ///< Prompts and answers of these, and cached parts.
+  uint32_t places = 0;        ///< Maximum requests in its batch.
+  uint64_t memoryTokens = 0;  ///< Tokens of prompts, answers and cached parts.
 };
 
-/// What a request takes of an engine.
+/// The resources that a request needs at an engine.
 struct EngineDemand {
   uint64_t promptTokens = 0;
   uint64_t memoryTokens = 0;      ///< Prompt and expected answer.
-  Duration forgetAfter{3000000};  ///< Its end was not told if it is still counted then.
-  Duration longestPermitWait{0};  ///< For which it can wait where the engine states a limit.
-  bool isCounted = true;          ///< False: it only needs a permit.
+  Duration forgetAfter{3000000};  ///< Then its release is assumed to be lost.
+  Duration longestPermitWait{0};  ///< Longest wait for a permit if the engine states a limit.
+  bool isCounted = true;          ///< False: it needs only a permit.
 };
 
 /// A request that is counted at an engine until it is released or forgotten.
 struct LoadTicket {
   uint64_t engine = 0;  ///< Hash of its id.
   uint32_t id = 0;
-  bool isCounted = true;   ///< Its end is to be told.
-  bool hasPermit = false;  ///< To be given back where the request is not sent.
+  bool isCounted = true;   ///< The end of the request must be reported.
+  bool hasPermit = false;  ///< The permit must be returned if the request is not sent.
 };
 
 struct LoadAnswer {
   bool isGranted = false;  ///< The request is counted; release the ticket.
-  /// What stands before it, of all nodes, in prompt tokens: those to be read, or the wait for a
-  /// place or for memory as the tokens that the engine reads in that time, whichever is more.
+  /// Queue ahead of the request, of all nodes, in prompt tokens. It is the larger of the tokens
+  /// still to be read and the wait for batch places or memory, converted to the tokens that the
+  /// engine reads in that time.
   uint64_t pendingTokens = 0;
-  double tokensPerSecond = 0;  ///< Prompt tokens that the engine got through lately, cached or not.
-  bool isStalled = false;      ///< Prompts wait there and none was begun for far too long.
-  /// The engine states a limit, and no permit comes within the time for which the request can wait.
+  double tokensPerSecond = 0;  ///< Recent rate of prompt tokens, cached ones included.
+  bool isStalled = false;      ///< Prompts are waiting and none has been begun for far too long.
+  /// The engine states a limit, and no permit becomes available within longestPermitWait.
   bool lacksPermit = false;
-  Duration permitWait{0};  ///< Until the request may be sent, or until a permit may come.
+  Duration permitWait{0};  ///< Time until the request may be sent, or until the next permit.
   LoadTicket ticket;
 
-  /// @return the time until the engine begins to read a newcomer's prompt.
+  /// @return the expected time until the engine begins to read a new request's prompt.
   Duration expectedWait() const {
     return fromSeconds(static_cast<double>(pendingTokens) / tokensPerSecond);
   }
-  /// @return the time for which it reads such a prompt.
+  /// @return the expected time to read a prompt of that length.
   Duration expectedReading(uint64_t promptTokens) const {
     return fromSeconds(static_cast<double>(promptTokens) / tokensPerSecond);
   }
@@ -61,9 +62,10 @@
 class EngineLoads {
  public:
   virtual ~EngineLoads() = default;
-  /// Counts a request at an engine unless `bound` tokens or more stand before it there.
+  /// Counts a request at an engine unless `bound` or more tokens are queued ahead of it. May block
+  /// for some milliseconds.
   /// @param engine hash of its id.
-  /// @return nothing where nobody answered; may wait some milliseconds.
+  /// @return nothing if the node that counts for the engine did not answer.
   virtual std::optional<LoadAnswer> reserve(uint64_t engine, const EngineDemand& demand,
                                             const EngineRoom& room, uint64_t bound) = 0;
   /// The request's prompt was read; it still runs.
@@ -71,16 +73,17 @@
   /// The request left the engine.
   virtual void release(const LoadTicket& ticket) = 0;
 
-  // What engines state; by default they state nothing.
+  // Statements of engines; the default implementations assume that there are none.
 
-  /// The request was not sent: it is counted no more, and its permit is another one's.
+  /// The request was not sent: stops counting it and makes its permit available again.
   virtual void giveBack(const LoadTicket& ticket) { release(ticket); }
-  /// Takes what an answer to a request of this node states.
+  /// Processes a statement in the answer to a request of this node.
   virtual void noteStatement(const EngineStatement&) {}
-  /// @return the time until a request may be permitted, as far as this node knows; nothing where
+  /// @return the time until a permit may become available, as far as this node knows; nothing if
   ///         the engine states no limit.
   virtual std::optional<Duration> permitDue(uint64_t) const { return std::nullopt; }
-  /// @return whether a request may be sent though nobody answered who counts for the engine.
+  /// @return whether a request may be sent although the node that counts for the engine did not
+  ///         answer.
   virtual bool mayGoUnasked(uint64_t) { return true; }
 };
 
--- a/src/gateway/engine_permits.cpp
+++ b/src/gateway/engine_permits.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// Permits of an engine that wasn't asked for may gather for so long, one at least.
+/// Unused permits of an engine accumulate for at most this time, but to at least one permit.
 constexpr double kBurstSeconds = 0.5;
 constexpr Duration kUnusedAfter{20000000};
 
@@ -22,7 +22,8 @@
       Schedule{TokenBucket(rate, burstOf(rate), now), rate, now, PermitCounts{engine, 0, 0}});
   Schedule& schedule = added.first->second;
   if (added.second || rate < schedule.rate) {
-    // What was saved up under a higher limit would be too much under the lower one.
+    // A new bucket starts empty, and permits accumulated under a higher limit are discarded, as
+    // they would exceed the lower one.
     schedule.bucket.charge(std::max(0.0, schedule.bucket.tokens(now)), now);
   }
   if (rate != schedule.rate) {
--- a/src/gateway/engine_permits.h
+++ b/src/gateway/engine_permits.h
@@ -1,7 +1,7 @@
 /// @file
-/// Permits to send a request to an engine that states a limit, given by the one node that counts
-/// for it: a token bucket for each engine. A request may be promised a permit that comes within the
-/// time for which it can wait, so that what an engine takes is used also where it comes unevenly.
+/// Permits for sending requests to engines that state a rate limit. The one node that counts an
+/// engine's requests grants them from a token bucket per engine. A request may reserve a future
+/// permit within the time that it can wait, so that the limit is fully used by uneven traffic too.
 #pragma once
 
 #include <cstdint>
@@ -15,30 +15,32 @@
 namespace fernmoor::gateway {
 
 struct PermitOffer {
-  bool isTaken = false;  ///< The request may be sent after `wait`.
-  Duration wait{0};      ///< Until the next permit.
+  bool isTaken = false;  ///< A permit is reserved; the request may be sent after `wait`.
+  Duration wait{0};      ///< Time until the next permit.
 };
 
-/// What was decided about one engine's permits since that was asked last.
+/// Decisions about one engine's permits since the last call of takeCounts().
 struct PermitCounts {
   uint64_t engine = 0;
-  uint32_t given = 0;     ///< Without those that came back.
-  uint32_t withheld = 0;  ///< Questions for which no permit came in time.
+  uint32_t given = 0;     ///< Permits granted, less those that were returned.
+  uint32_t withheld = 0;  ///< Requests for which no permit was available in time.
 };
 
-/// Thread-safe. Engines are named by hashes of their incarnations.
+/// Thread-safe. Engines are identified by the hashes of their incarnations.
 class EnginePermits {
  public:
-  /// Notes that the engine states a limit. Its first permit comes after a whole interval: what it
-  /// gets in this one was sent before, or permitted by another node.
+  /// Records that the engine states a limit. The first permit is available after one full interval,
+  /// since requests that reach the engine before that were already sent or permitted by another
+  /// node.
   void expect(uint64_t engine, double rate, Time now);
-  /// Takes a permit that comes within `longestWait`. An engine not heard of is expected first.
-  /// @param rate requests a second, above 0.
+  /// Reserves a permit that is available within `longestWait`. Calls expect() for an unknown
+  /// engine.
+  /// @param rate requests per second, above 0.
   PermitOffer take(uint64_t engine, double rate, Duration longestWait, Time now);
-  /// Gives a permit back whose request was not sent.
+  /// Returns the permit of a request that was not sent.
   void giveBack(uint64_t engine, Time now);
   std::vector<PermitCounts> takeCounts();
-  /// Forgets engines that nobody asked about for a while.
+  /// Removes engines that were not used for a while.
   void forgetUnused(Time now);
 
  private:
--- a/src/gateway/load_shedding.cpp
+++ b/src/gateway/load_shedding.cpp
@@ -6,20 +6,21 @@
 
 namespace {
 
-/// Shares of the limit in percent. The fifth above the high mark, 17.6 MB on a machine of 88 MB, is
-/// kept for what can't be refused: requests that run, and a table that grows while they do. The
-/// tenth between the marks is more than a few requests take, so that a node doesn't flutter.
+/// Shares of the limit in percent. The 20 % above the high-water mark, 17.6 MB on a machine with
+/// 88 MB, are reserved for what can't be refused: running requests, and a table that grows
+/// meanwhile. The 10 % between the marks are more than a few requests use, so that the state does
+/// not flap.
 constexpr size_t kHighWaterPercent = 80;
 constexpr size_t kLowWaterPercent = 70;
-/// A piece as it is read from an engine, of which one waits where the caller takes it more slowly;
-/// callers themselves send nothing while they wait. A sum over the sockets' receive queues would
-/// cost a system call for each connection at each look.
-constexpr size_t kUnreadPerRequest = 8192;
-/// Looks from the high-water mark to the limit over a link that is full.
-constexpr double kLooksToLimit = 4;
-/// Reading the size takes 4 us (measured), which is nothing at either.
-constexpr Duration kShortestLook{50000};
-constexpr Duration kLongestLook{250000};
+/// Bytes of one chunk read from an engine. One chunk may be unread if the caller reads more slowly
+/// than the engine sends; callers send nothing while they wait. This estimate is used because
+/// adding up the sockets' receive queues would need a system call per connection at each check.
+constexpr size_t kUnreadBytesPerRequest = 8192;
+/// Checks between the high-water mark and the limit if the link is saturated.
+constexpr double kChecksToLimit = 4;
+/// Reading the memory size takes 4 us (measured), which is negligible at either interval.
+constexpr Duration kMinCheckInterval{50000};
+constexpr Duration kMaxCheckInterval{250000};
 constexpr double kBytesPerMegabit = 125000;
 
 bool reaches(size_t bytes, size_t limitBytes, size_t percent) {
@@ -38,23 +39,24 @@
 
 bool LoadShedding::note(size_t bytes) {
   const MemoryLevel now = level(bytes);
-  const bool sheds = now == MemoryLevel::kAbove || (now == MemoryLevel::kBetween && isShedding_);
-  return isShedding_.exchange(sheds) != sheds;
+  const bool shouldShed =
+      now == MemoryLevel::kAbove || (now == MemoryLevel::kBetween && isShedding_);
+  return isShedding_.exchange(shouldShed) != shouldShed;
 }
 
 size_t unreadReserve(size_t requests) {
-  return requests * kUnreadPerRequest;
+  return requests * kUnreadBytesPerRequest;
 }
 
 Duration memoryLookInterval(size_t limitBytes, double linkMegabits) {
   if (limitBytes == 0 || linkMegabits <= 0) {
-    return kLongestLook;
+    return kMaxCheckInterval;
   }
   const size_t roomBytes = limitBytes / 100 * (100 - kHighWaterPercent);
   const auto room = static_cast<double>(roomBytes);
-  const double seconds = room / (linkMegabits * kBytesPerMegabit) / kLooksToLimit;
+  const double seconds = room / (linkMegabits * kBytesPerMegabit) / kChecksToLimit;
   return std::clamp(std::chrono::duration_cast<Duration>(std::chrono::duration<double>(seconds)),
-                    kShortestLook, kLongestLook);
+                    kMinCheckInterval, kMaxCheckInterval);
 }
 
 }  // namespace fernmoor::gateway
--- a/src/gateway/load_shedding.h
+++ b/src/gateway/load_shedding.h
@@ -1,6 +1,6 @@
 /// @file
-/// Load shedding near the limit of memory: a process over its limit is killed and cuts all that it
-/// answers, while one that is near it can still refuse truthfully what it has not begun.
+/// Load shedding near the memory limit. A process that exceeds its limit is killed, which cuts off
+/// all of its answers; near the limit it can still refuse requests that it has not begun.
 #pragma once
 
 #include <atomic>
@@ -10,23 +10,24 @@
 
 namespace fernmoor::gateway {
 
-/// How full the memory is, for taking requests.
+/// Memory use relative to the marks at which new requests are refused or accepted again.
 enum class MemoryLevel {
   kBelow,  ///< Below the low-water mark.
   kBetween,
   kAbove,  ///< At the high-water mark or above it.
 };
 
-/// Whether new requests are refused, with hysteresis. One thread notes, any may ask.
+/// Decides with hysteresis whether new requests are refused. One thread may call note(); any thread
+/// may call the other functions.
 class LoadShedding {
  public:
-  /// @param limitBytes what the machine allows the process; 0: unknown, nothing is ever refused.
+  /// @param limitBytes the memory limit of the process; 0: unknown, nothing is ever refused.
   explicit LoadShedding(size_t limitBytes) : limitBytes_(limitBytes) {}
 
   MemoryLevel level(size_t bytes) const;
-  /// Begins to refuse at the high-water mark and ends below the low one.
-  /// @param bytes held now, with what has arrived and is not read.
-  /// @return whether that changed.
+  /// Starts shedding at the high-water mark and stops below the low-water mark.
+  /// @param bytes the memory in use, including data that has arrived but is not read.
+  /// @return whether the state changed.
   bool note(size_t bytes);
   bool isShedding() const { return isShedding_; }
 
@@ -35,13 +36,13 @@
   std::atomic<bool> isShedding_{false};
 };
 
-/// @return bytes that count toward the limit and that the resident size does not show: what has
-///         arrived on the sockets of requests under way and is not read yet.
+/// @return the estimated bytes that count toward the limit but not toward the resident size: unread
+///         data in the socket buffers of requests in flight.
 size_t unreadReserve(size_t requests);
 
-/// @return how often to look at the memory, so that a link that carries nothing but what fills it
-///         takes several looks from the high-water mark to the limit.
-/// @param linkMegabits per second; 0: unknown.
+/// @return the interval between memory checks. It is short enough for several checks between the
+///         high-water mark and the limit if everything that arrives on the link stays in memory.
+/// @param linkMegabits link rate in megabits per second; 0: unknown.
 Duration memoryLookInterval(size_t limitBytes, double linkMegabits);
 
 }  // namespace fernmoor::gateway
--- a/src/gateway/memory_watch.cpp
+++ b/src/gateway/memory_watch.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-constexpr size_t kTenths = 10;
+constexpr size_t kTenthsOfLimit = 10;
 constexpr size_t kKilobyte = 1024;
 
 std::string kilobytes(size_t bytes) {
@@ -23,11 +23,11 @@
   if (limitBytes_ == 0) {
     return;
   }
-  const size_t tenths = use.residentBytes * kTenths / limitBytes_;
-  if (tenths <= toldTenths_) {
+  const size_t tenths = use.residentBytes * kTenthsOfLimit / limitBytes_;
+  if (tenths <= loggedTenths_) {
     return;
   }
-  toldTenths_ = tenths;
+  loggedTenths_ = tenths;
   logInfo("memory: " + kilobytes(use.residentBytes) + " of " + kilobytes(limitBytes_) +
           " in use; " + kilobytes(use.peerQueueBytes) + " wait for other nodes, " +
           std::to_string(use.requests) + " requests under way hold " + kilobytes(use.requestBytes) +
--- a/src/gateway/memory_watch.h
+++ b/src/gateway/memory_watch.h
@@ -1,6 +1,6 @@
 /// @file
-/// Tells in the log what this process holds while its memory grows towards the limit of its
-/// machine. A process that goes over the limit is killed without a word, so it speaks before.
+/// Logs the memory use of this process as it grows towards the memory limit of its machine. A
+/// process that exceeds the limit is killed without a log line, so the use is logged before.
 #pragma once
 
 #include <cstddef>
@@ -9,31 +9,31 @@
 
 namespace fernmoor::gateway {
 
-/// What may have taken the memory.
+/// Memory use by purpose.
 struct MemoryUse {
   size_t residentBytes = 0;   ///< Of the whole process.
-  size_t peerQueueBytes = 0;  ///< Messages that wait to be sent to other nodes.
-  size_t requests = 0;        ///< Under way.
-  size_t requestBytes = 0;    ///< Of their headers and bodies, and of answers held for them.
-  size_t tableTextBytes = 0;  ///< Of the operators' table as it is passed on.
+  size_t peerQueueBytes = 0;  ///< Messages queued for other nodes.
+  size_t requests = 0;        ///< Requests in flight.
+  size_t requestBytes = 0;    ///< Their headers and bodies, and answers buffered for them.
+  size_t tableTextBytes = 0;  ///< The operators' table in the form sent to other nodes.
 };
 
 /// Used by one thread.
 class MemoryWatch {
  public:
-  /// @param limitBytes what the machine allows the process; 0: unknown, nothing is told.
+  /// @param limitBytes the memory limit of the process; 0: unknown, nothing is logged.
   explicit MemoryWatch(size_t limitBytes) : limitBytes_(limitBytes) {}
 
-  /// Called several times a second. Writes a line each time the process holds a tenth of the limit
-  /// more than it ever did.
+  /// Call several times a second. Logs a line each time the resident size reaches a higher tenth of
+  /// the limit than ever before.
   void note(const MemoryUse& use);
-  /// Most that the process was seen to hold, in bytes.
+  /// @return the highest resident size seen, in bytes.
   size_t peakBytes() const { return peakBytes_; }
 
  private:
   const size_t limitBytes_;
   size_t peakBytes_ = 0;
-  size_t toldTenths_ = 0;  ///< Tenths of the limit that the newest line told.
+  size_t loggedTenths_ = 0;  ///< Tenths of the limit in the last line logged.
 };
 
 }  // namespace fernmoor::gateway
--- a/src/gateway/part_memory.h
+++ b/src/gateway/part_memory.h
@@ -1,7 +1,7 @@
 /// @file
-/// What is remembered of cached parts of prompts: at which engine one was read last, and whether
-/// the cache store was told to keep it. Hints only: a wrong one costs time, never a wrong answer,
-/// since engines find parts by their scope.
+/// Hints about cached parts of prompts: the engine that read a part last, and whether the cache
+/// store was asked to keep it. A wrong hint costs time but never causes a wrong answer, since
+/// engines look parts up by their scope.
 #pragma once
 
 #include <cstdint>
@@ -19,25 +19,26 @@
 using PartKey = uint64_t;
 PartKey partKeyOf(const std::string& scope, const std::string& part);
 
-/// What is known of one part.
+/// What is known about one part.
 struct PartHint {
   uint64_t engine = 0;  ///< Hash of the id of the engine that read it last; 0: unknown.
   Time readAt;
-  bool isStored = false;  ///< The store was sent it.
+  bool isStored = false;  ///< It was sent to the store.
   Time storedAt;
 };
 
-/// Where requests ask for hints and leave them. Implementations are thread-safe.
+/// Finds and records hints for requests. Implementations are thread-safe.
 class PartHints {
  public:
   virtual ~PartHints() = default;
-  /// @return a hint for each part, empty where nothing is known; may wait some milliseconds.
+  /// May block for some milliseconds.
+  /// @return a hint for each part, empty where nothing is known.
   virtual std::vector<PartHint> find(const std::vector<PartKey>& parts) = 0;
-  /// Notes that an engine has read the parts.
+  /// Records that an engine has read the parts.
   virtual void note(const std::vector<PartKey>& parts, uint64_t engine, bool isStored) = 0;
 };
 
-/// A bounded memory of hints that forgets the parts unused the longest. Thread-safe.
+/// A bounded LRU cache of hints; only note() counts as a use. Thread-safe.
 class PartMemory {
  public:
   explicit PartMemory(size_t capacity) : capacity_(capacity) {}
@@ -55,7 +56,7 @@
 
   size_t capacity_;
   mutable std::mutex mutex_;
-  std::list<Entry> order_;  ///< Used last first.
+  std::list<Entry> order_;  ///< Most recently used first.
   std::unordered_map<PartKey, std::list<Entry>::iterator> entries_;
 };
 
--- a/src/gateway/part_source.cpp
+++ b/src/gateway/part_source.cpp
@@ -8,35 +8,35 @@
 
 namespace {
 
-/// How long a part counts as kept by the store after it was sent there.
-constexpr Duration kStoredMemory{20000000};
-/// How long an engine is asked for a part that it has read and the store does not hold.
-constexpr Duration kReadMemory{10000000};
-/// The same where the store holds the part too. Busy engines turn their memory over within some
-/// seconds, and a source that has dropped the part costs a whole reading, while the store costs
-/// some ten milliseconds more than an engine: of 1,478 k tokens read again in a day, 923 k were
-/// asked of an engine that had dropped them (docs/DECISIONS.md, round 1).
-constexpr Duration kReadMemoryBesideStore{1000000};
+/// A part is assumed to be in the store for this long after it was sent there.
+constexpr Duration kStoredLifetime{20000000};
+/// A part that is not in the store is fetched from the engine that read it for this long.
+constexpr Duration kEngineCopyLifetime{10000000};
+/// The same for a part that is also in the store. Busy engines evict parts within some seconds. A
+/// source that has evicted the part costs reading all of it again, while the store is only some
+/// 10 ms slower than an engine: of 1,478 k tokens recomputed in a day, 923 k had been requested
+/// from an engine that had evicted them (docs/DECISIONS.md, round 1).
+constexpr Duration kEngineCopyLifetimeWithStore{1000000};
 
 bool isStored(const PartHint& hint, Time now) {
-  return hint.isStored && now - hint.storedAt <= kStoredMemory;
+  return hint.isStored && now - hint.storedAt <= kStoredLifetime;
 }
 
 }  // namespace
 
 std::optional<SocketAddress> storeOf(uint64_t prompt, const std::vector<CacheStore>& stores) {
-  const std::vector<CacheStore> keeper = rendezvousTop(
+  const std::vector<CacheStore> owner = rendezvousTop(
       prompt, stores, 1,
       [](const CacheStore& store) { return stableHash(formatSocketAddress(store.address)); });
-  return keeper.empty() ? std::nullopt : std::optional<SocketAddress>(keeper.front().address);
+  return owner.empty() ? std::nullopt : std::optional<SocketAddress>(owner.front().address);
 }
 
 PartTransfer planTransfer(const std::vector<PartHint>& hints, const PartHolders& holders,
                           bool isStoreSlow, Time now) {
   PartTransfer transfer;
   transfer.fetchFrom = holders.store;
-  // Saving sends all that is read, the request's own part included, so only requests with a part
-  // that the store does not hold ask for it.
+  // Saving transfers everything that is read, including the request's own part, so it is requested
+  // only if the store lacks a shared part.
   const bool allStored = std::all_of(hints.begin(), hints.end(),
                                      [&](const PartHint& hint) { return isStored(hint, now); });
   if (!allStored) {
@@ -45,11 +45,12 @@
   const PartHint& longest = hints.back();
   const bool storeHolds = holders.store && isStored(longest, now);
   const Duration readAge = now - longest.readAt;
-  const Duration trusted = storeHolds && !isStoreSlow ? kReadMemoryBesideStore : kReadMemory;
+  const Duration trusted =
+      storeHolds && !isStoreSlow ? kEngineCopyLifetimeWithStore : kEngineCopyLifetime;
   if (holders.engine && readAge <= trusted) {
     transfer.fetchFrom = holders.engine;
     transfer.source =
-        readAge <= kReadMemoryBesideStore ? PartSource::kEngine : PartSource::kUncertain;
+        readAge <= kEngineCopyLifetimeWithStore ? PartSource::kEngine : PartSource::kUncertain;
   } else if (storeHolds) {
     transfer.source = PartSource::kStore;
   }
--- a/src/gateway/part_source.h
+++ b/src/gateway/part_source.h
@@ -1,6 +1,6 @@
 /// @file
-/// Where the engine that serves a request is to take the shared parts of its prompt from, and
-/// whether it is to leave them in the store.
+/// Decides where the engine that serves a request fetches the shared parts of its prompt from, and
+/// whether it saves them to the store.
 #pragma once
 
 #include <optional>
@@ -13,38 +13,37 @@
 
 namespace fernmoor::gateway {
 
-/// Who could hand over parts.
+/// Possible sources of the parts.
 struct PartHolders {
-  std::optional<SocketAddress> store;   ///< The store that keeps the prompt, where there is one.
-  std::optional<SocketAddress> engine;  ///< The engine that the longest part's hint names, if it
-                                        ///< is another than the one that serves and holds the same
-                                        ///< weights.
+  std::optional<SocketAddress> store;   ///< The store that owns the prompt, if there is one.
+  std::optional<SocketAddress> engine;  ///< The engine in the longest part's hint, if it is not the
+                                        ///< serving engine and has the same weights.
 };
 
-/// Where the longest part most likely comes from, as far as that is known before it does.
+/// Expected source of the longest part.
 enum class PartSource {
-  kUncertain,  ///< It may have to be read.
+  kUncertain,  ///< The part may have to be recomputed.
   kStore,
-  kEngine,  ///< One that read it a moment ago.
+  kEngine,  ///< An engine that read it within the last second.
 };
 
-/// What the engine that serves is told.
+/// Transfer instructions for the serving engine.
 struct PartTransfer {
-  std::optional<SocketAddress> fetchFrom;  ///< Where cached parts may be taken from.
-  std::optional<SocketAddress> saveTo;     ///< Where parts that are read anew are kept.
+  std::optional<SocketAddress> fetchFrom;  ///< Where to fetch cached parts.
+  std::optional<SocketAddress> saveTo;     ///< Where to save newly read parts.
   PartSource source = PartSource::kUncertain;
 };
 
-/// Shares prompts out among the stores of a deployment: each has memory and a link of its own. An
-/// engine takes what it lacks of a prompt from one address, so a store keeps whole prompts, and a
-/// beginning that many prompts share is read once for each store.
-/// @param prompt names the prompt on every node alike, e.g. by its longest shared part.
-/// @return the store that keeps it, nothing where there is none. A store that comes or goes moves
-///         only the prompts that it keeps.
+/// Distributes prompts over the stores of a deployment, each of which has its own memory and link.
+/// An engine fetches the missing parts of a prompt from one address, so a store keeps whole
+/// prompts, and a prefix shared by many prompts is read once for each store.
+/// @param prompt identifies the prompt equally on all nodes, e.g. by its longest shared part.
+/// @return the store that owns the prompt; nothing if there are no stores. Adding or removing a
+///         store moves only the prompts that this store owns.
 std::optional<SocketAddress> storeOf(uint64_t prompt, const std::vector<CacheStore>& stores);
 
-/// @param hints of the request's shared parts, the longest prefix last; not empty.
-/// @param isStoreSlow whether engines are asked first for what both may hold.
+/// @param hints one for each shared part of the request, the longest prefix last; not empty.
+/// @param isStoreSlow whether an engine is preferred for parts that the store has too.
 PartTransfer planTransfer(const std::vector<PartHint>& hints, const PartHolders& holders,
                           bool isStoreSlow, Time now);
 
--- a/src/gateway/pending_work.cpp
+++ b/src/gateway/pending_work.cpp
@@ -6,19 +6,19 @@
 
 namespace {
 
-/// Some ten requests a second end at a busy engine, so this remembers about fifty.
+/// About ten requests per second end at a busy engine, so this averages over about fifty.
 constexpr Duration kObservedHalfLife{4000000};
-/// What an engine is taken for until it was observed, in tokens and seconds: engines of our users
-/// read 38 to 57 tokens a millisecond, and a third of most prompts is cached.
+/// Assumed observations of a new engine, in tokens and seconds. Engines of our users read 38 to 57
+/// tokens per millisecond, and a third of most prompts is cached.
 constexpr double kAssumedTokens = 20000;
 constexpr double kAssumedReadingSeconds = 0.5;
 constexpr double kAssumedRequests = 2;
 constexpr double kAssumedResidenceSeconds = 1.0;
-/// A waiting prompt that was not begun after so long, and after so many times what is expected,
-/// tells that its engine does nothing: a step of a busy one takes some 0.1 s.
+/// An engine is stalled if a waiting prompt has not been begun after this time and after this
+/// multiple of the expected time. A step of a busy engine takes about 0.1 s.
 constexpr Duration kStalledAfter{400000};
 constexpr double kStalledFactor = 3;
-/// Engines without requests are forgotten, with what was observed of them, after so long.
+/// Unused engines and their observations are removed after this time.
 constexpr Duration kUnusedAfter{20000000};
 constexpr Duration kSweepInterval{5000000};
 
@@ -28,7 +28,7 @@
   return (reading.amount + kAssumedTokens) / (reading.seconds + kAssumedReadingSeconds);
 }
 
-double PendingWork::Engine::secondsOfARequest() const {
+double PendingWork::Engine::secondsPerRequest() const {
   return (residence.seconds + kAssumedResidenceSeconds * kAssumedRequests) /
          (residence.amount + kAssumedRequests);
 }
@@ -41,9 +41,9 @@
   return tokens;
 }
 
-double PendingWork::Engine::secondsForRoom(const EngineDemand& demand,
-                                           const EngineRoom& room) const {
-  const double residenceSeconds = secondsOfARequest();
+double PendingWork::Engine::secondsUntilCapacity(const EngineDemand& demand,
+                                                 const EngineRoom& room) const {
+  const double residenceSeconds = secondsPerRequest();
   double seconds = 0;
   if (room.places > 0 && entries.size() >= room.places) {
     const auto ends = static_cast<double>(entries.size() - room.places + 1);
@@ -66,7 +66,7 @@
     if (entry.isRead) {
       continue;
     }
-    // Entries are in the order of their coming: this one has waited for the longest.
+    // Entries are in order of arrival, so this one has waited longest.
     const Duration expected =
         fromSeconds(static_cast<double>(entry.tokensAtStart) / tokensPerSecond() * kStalledFactor);
     return reading.at < entry.reservedAt &&
@@ -105,7 +105,7 @@
   LoadAnswer answer;
   answer.ticket = LoadTicket{id, request.id};
   answer.tokensPerSecond = engine.tokensPerSecond();
-  const double forRoom = engine.secondsForRoom(request.demand, room) * answer.tokensPerSecond;
+  const double forRoom = engine.secondsUntilCapacity(request.demand, room) * answer.tokensPerSecond;
   answer.pendingTokens = std::max(waiting, static_cast<uint64_t>(forRoom));
   answer.isStalled = engine.isStalled(now);
   answer.isGranted = answer.pendingTokens < bound && !answer.isStalled;
--- a/src/gateway/pending_work.h
+++ b/src/gateway/pending_work.h
@@ -1,7 +1,7 @@
 /// @file
-/// The count behind EngineLoads: which requests wait and run at an engine, how quickly it gets
-/// through them, and what a newcomer has to wait for. A request whose end is never told is
-/// forgotten after a while, so that a lost message or a dead node does not fill an engine.
+/// The bookkeeping behind EngineLoads: the requests that wait and run at each engine, the engine's
+/// throughput, and the expected wait of a new request. A request whose end is not reported expires,
+/// so that a lost message or a failed node does not make an engine look full.
 #pragma once
 
 #include <cstdint>
@@ -14,25 +14,26 @@
 
 namespace fernmoor::gateway {
 
-/// A request as its owner names it.
+/// A request as identified by the node that sent it.
 struct PendingRequest {
-  uint64_t owner = 0;  ///< Its node.
-  uint32_t id = 0;     ///< One number of that node's.
+  uint64_t owner = 0;  ///< The node that sent it.
+  uint32_t id = 0;     ///< Unique within that node.
   EngineDemand demand;
 };
 
 /// Thread-safe.
 class PendingWork {
  public:
-  /// Counts the request unless `bound` tokens or more stand before it at the engine.
+  /// Counts the request unless `bound` or more tokens are queued ahead of it at the engine, or the
+  /// engine is stalled.
   LoadAnswer reserve(uint64_t engine, const PendingRequest& request, const EngineRoom& room,
                      uint64_t bound, Time now);
   /// The engine began to answer the request.
   void promptRead(uint64_t engine, uint64_t owner, uint32_t id, Time now);
   void release(uint64_t engine, uint64_t owner, uint32_t id, Time now);
-  /// Forgets all requests of a node, which was started anew or is gone.
+  /// Removes all requests of a node that was restarted or is gone.
   void forgetOwner(uint64_t owner);
-  /// Engines with requests that are counted.
+  /// @return the number of engines with counted requests.
   size_t size() const;
 
  private:
@@ -40,20 +41,20 @@
     PendingRequest request;
     Time reservedAt;
     Time forgetAt;
-    uint64_t tokensAtStart = 0;  ///< Prompt tokens that waited with it, its own included.
+    uint64_t tokensAtStart = 0;  ///< Prompt tokens waiting when it was added, its own included.
     bool isRead = false;
   };
 
   struct Engine {
     std::vector<Entry> entries;
-    DecayingQuotient reading;    ///< Prompt tokens, and the time until the first event.
-    DecayingQuotient residence;  ///< Requests, and the time from their send to their end.
+    DecayingQuotient reading;    ///< Prompt tokens, and the time to the first event.
+    DecayingQuotient residence;  ///< Requests, and the time from their reservation to their end.
     Time usedAt;
 
     double tokensPerSecond() const;
-    double secondsOfARequest() const;
+    double secondsPerRequest() const;
     uint64_t waitingTokens() const;
-    double secondsForRoom(const EngineDemand& demand, const EngineRoom& room) const;
+    double secondsUntilCapacity(const EngineDemand& demand, const EngineRoom& room) const;
     bool isStalled(Time now) const;
   };
 
--- a/src/gateway/serving_versions.h
+++ b/src/gateway/serving_versions.h
@@ -1,5 +1,5 @@
 /// @file
-/// Which engines may still be sent requests while new weights are brought in.
+/// Filters engines by the version of their weights while a new version is rolled out.
 #pragma once
 
 #include <cstdint>
@@ -9,10 +9,11 @@
 
 namespace fernmoor::gateway {
 
-/// Leaves out engines whose weights are too old, also where none stays: a bound that gives way when
-/// it can't be kept is none, and a request that is refused may come back to an engine that was
-/// moved meanwhile.
-/// @param lowest older versions are too old, and so are unknown ones; 0: none is.
+/// Removes engines whose weights are too old, even if none is left. The bound on old weights has no
+/// exception for the case that no engine meets it; a refused request may be retried and reach an
+/// engine that has been moved meanwhile.
+/// @param lowest the lowest permitted version; lower and unknown versions are removed. 0: removes
+///        nothing.
 void leaveOutOldWeights(std::vector<BackendView>& candidates, uint64_t lowest);
 
 }  // namespace fernmoor::gateway
--- a/src/gateway/source_experience.cpp
+++ b/src/gateway/source_experience.cpp
@@ -4,13 +4,15 @@
 
 namespace {
 
-/// A node of a busy fleet sees some four long prompts a second, so this remembers about twenty.
+/// A node of a busy fleet sees about four long prompts per second, so this averages over about
+/// twenty.
 constexpr Duration kHalfLife{5000000};
-/// Prompt tokens of each kind without which nothing is concluded: about two long prompts.
-constexpr double kFewestTokens = 15000;
-/// From an idle store a long prompt's parts take 35 to 40 ms longer than from an engine, of 200 ms
-/// and more until the first event, while a source that has dropped them costs some 100 ms of
-/// reading. 1.6 was worse where the store's link is full (docs/DECISIONS.md, round 6).
+/// Minimum number of prompt tokens from each source for a comparison: about two long prompts.
+constexpr double kMinTokens = 15000;
+/// Ratio of store time to engine time from which the store counts as slow. An idle store delivers
+/// the parts of a long prompt 35 to 40 ms later than an engine, out of 200 ms or more to the first
+/// event, while a source that has evicted them costs about 100 ms of recomputation. 1.6 was worse
+/// when the store's link was saturated (docs/DECISIONS.md, round 6).
 constexpr double kSlowFactor = 1.2;
 
 }  // namespace
@@ -28,7 +30,7 @@
   const std::lock_guard<std::mutex> lock(mutex_);
   const DecayingQuotient store = store_.fadedTo(now, kHalfLife);
   const DecayingQuotient engine = engine_.fadedTo(now, kHalfLife);
-  if (store.amount < kFewestTokens || engine.amount < kFewestTokens) {
+  if (store.amount < kMinTokens || engine.amount < kMinTokens) {
     return false;
   }
   return store.seconds / store.amount > kSlowFactor * engine.seconds / engine.amount;
--- a/src/gateway/source_experience.h
+++ b/src/gateway/source_experience.h
@@ -1,7 +1,7 @@
 /// @file
-/// How quickly requests got their first event by where their shared parts came from, as this node
-/// saw it lately. The store's link is shared by all engines: where it is overloaded, a part waits
-/// there longer than reading it would take.
+/// Recent times to the first event on this node, by the source of the requests' shared parts. All
+/// engines share the store's link; when it is overloaded, fetching a part takes longer than
+/// recomputing it.
 #pragma once
 
 #include <mutex>
@@ -14,15 +14,16 @@
 /// Thread-safe.
 class SourceExperience {
  public:
-  /// @param took from the send to the first event.
+  /// Records one request.
+  /// @param took the time from sending the request to its first event.
   void note(PartSource source, uint64_t promptTokens, Duration took, Time now);
-  /// @return whether parts come so much more slowly from the store than from engines that an engine
-  ///         that may have dropped them is the better source.
+  /// @return whether the store is so much slower than engines that an engine which may have evicted
+  ///         the parts is the better source.
   bool isStoreSlow(Time now) const;
 
  private:
   mutable std::mutex mutex_;
-  DecayingQuotient store_;  ///< Prompt tokens, and the times until their first events.
+  DecayingQuotient store_;  ///< Prompt tokens, and the times to their first events.
   DecayingQuotient engine_;
 };
 
--- a/src/gateway/stated_limits.cpp
+++ b/src/gateway/stated_limits.cpp
@@ -7,17 +7,19 @@
 
 namespace {
 
-/// One trial in four seconds at a back end that takes less.
-constexpr double kLeastRate = 0.25;
-/// A limit that ended is remembered for so long, against answers that were overtaken.
-constexpr Duration kEndedMemory{10000000};
-/// Back ends may be missing from the list for a while, as when the store was away.
-constexpr Duration kUnlistedMemory{30000000};
-/// Of its part of the limit a node uses so much unasked: those whose answers are lost may have been
-/// given permits all the same.
-constexpr double kUnaskedPart = 0.5;
-
-double rateOrAny(const LimitStatement& statement) {
+/// Minimum rate in requests per second: one trial every 4 s at a back end with a lower limit.
+constexpr double kMinRatePerSecond = 0.25;
+/// The end of a limit is remembered for this long, so that an answer that arrives out of order does
+/// not reinstate the limit.
+constexpr Duration kEndedRetention{10000000};
+/// Limits of unlisted back ends are kept for this long, as back ends may be missing from the list
+/// for a while, for instance after an outage of the store.
+constexpr Duration kUnlistedRetention{30000000};
+/// Fraction of its share of the limit that a node uses without permits. A permit may have been
+/// granted although the answer to the node was lost.
+constexpr double kUnpermittedFraction = 0.5;
+
+double rateOrUnlimited(const LimitStatement& statement) {
   return statement.ratePerSecond.value_or(std::numeric_limits<double>::infinity());
 }
 
@@ -40,13 +42,13 @@
   if (next.cameAt <= known.sentAt) {
     return false;
   }
-  const double nextRate = rateOrAny(next);
-  const double knownRate = rateOrAny(known);
+  const double nextRate = rateOrUnlimited(next);
+  const double knownRate = rateOrUnlimited(known);
   return nextRate < knownRate || (nextRate == knownRate && next.cameAt > known.cameAt);
 }
 
 double permittedRate(double statedRate) {
-  return std::max(statedRate, kLeastRate);
+  return std::max(statedRate, kMinRatePerSecond);
 }
 
 LimitChange StatedLimits::note(uint64_t engine, const LimitStatement& statement) {
@@ -71,7 +73,7 @@
   entry.statement = statement;
   if (change != LimitChange::kNone) {
     entry.permitAt = Time();
-    entry.unasked.reset();
+    entry.unpermitted.reset();
   }
   return change;
 }
@@ -117,14 +119,14 @@
     return true;
   }
   Entry& entry = known->second;
-  const double rate = permittedRate(*entry.statement.ratePerSecond) * kUnaskedPart /
+  const double rate = permittedRate(*entry.statement.ratePerSecond) * kUnpermittedFraction /
                       static_cast<double>(std::max<size_t>(1, nodes));
-  if (!entry.unasked) {
-    entry.unasked.emplace(rate, 1.0, now);
-    entry.unasked->charge(1.0, now);
+  if (!entry.unpermitted) {
+    entry.unpermitted.emplace(rate, 1.0, now);
+    entry.unpermitted->charge(1.0, now);
   }
-  entry.unasked->configure(rate, 1.0, now);
-  return entry.unasked->tryTake(now);
+  entry.unpermitted->configure(rate, 1.0, now);
+  return entry.unpermitted->tryTake(now);
 }
 
 std::vector<uint64_t> StatedLimits::engines() const {
@@ -149,8 +151,8 @@
   for (auto entry = entries_.begin(); entry != entries_.end();) {
     const LimitStatement& statement = entry->second.statement;
     const Duration age = now - statement.cameAt;
-    const bool isOld = statement.ratePerSecond ? age > kUnlistedMemory && !isListed(entry->first)
-                                               : age > kEndedMemory;
+    const bool isOld = statement.ratePerSecond ? age > kUnlistedRetention && !isListed(entry->first)
+                                               : age > kEndedRetention;
     entry = isOld ? entries_.erase(entry) : std::next(entry);
   }
   isEmpty_ = entries_.empty();
--- a/src/gateway/stated_limits.h
+++ b/src/gateway/stated_limits.h
@@ -1,8 +1,8 @@
 /// @file
-/// Limits that back ends state in their answers: the requests a second that one takes from all
-/// nodes together, for as long as it says so. Each node keeps what it was told, by answers of its
-/// own and by other nodes; which statement is the newest is decided by when the requests were sent
-/// whose answers made them, as answers overtake each other.
+/// Rate limits that back ends state in their answers: the requests per second that a back end
+/// accepts from all nodes together, valid until its next statement. Each node keeps the statements
+/// from its own answers and from other nodes. Answers can arrive out of order, so statements are
+/// ordered by the send times of the requests that they answer.
 #pragma once
 
 #include <atomic>
@@ -18,66 +18,69 @@
 
 namespace fernmoor::gateway {
 
-/// What one answer states.
+/// The limit stated in one answer.
 struct LimitStatement {
-  std::optional<double> ratePerSecond;  ///< Requests a second; nothing: no limit.
-  Time sentAt;                          ///< When the request was sent that it answers.
-  Time cameAt;                          ///< When the answer came.
+  std::optional<double> ratePerSecond;  ///< Requests per second; nothing: no limit.
+  Time sentAt;                          ///< When the answered request was sent.
+  Time cameAt;                          ///< When the answer arrived.
 };
 
-/// What an answer, or all that a node knows, states of one engine.
+/// The statements of one engine, in one answer or as merged by a node.
 struct EngineStatement {
   uint64_t engine = 0;                  ///< Hash of its incarnation.
-  std::optional<LimitStatement> limit;  ///< Nothing: it does not tell whether there is one.
-  std::optional<Time> leavingSince;     ///< When a node was first told that it leaves.
-  std::optional<Time> restsUntil;       ///< End of the rest that it asked a node for.
+  std::optional<LimitStatement> limit;  ///< Nothing: unknown whether there is a limit.
+  std::optional<Time> leavingSince;     ///< When a node first received that it is leaving.
+  std::optional<Time> restsUntil;       ///< End of the rest that it requested from a node.
 
   bool isEmpty() const { return !limit && !leavingSince && !restsUntil; }
 };
 
-/// What a statement changed.
+/// The effect of a statement.
 enum class LimitChange { kNone, kNamed, kChanged, kEnded };
 
-/// @return whether `next` takes the place of `known`: its request was sent after `known` came, or
-///         their order can't be told and it is the lower one.
+/// @return whether `next` replaces `known`: its request was sent after the answer of `known`
+///         arrived; or their order is unknown, and `next` has the lower rate or, at equal rates,
+///         arrived later.
 bool supersedes(const LimitStatement& next, const LimitStatement& known);
 
-/// @return requests a second that the back end gets under that limit: also one that takes nothing
-///         is tried now and then, since only its answers tell when its limit is over.
+/// @return the requests per second to send under that limit. The rate has a minimum above 0, since
+///         only an answer of the back end can end the limit.
 double permittedRate(double statedRate);
 
-/// Thread-safe. Back ends are named by hashes of their incarnations.
+/// Thread-safe. Back ends are identified by the hashes of their incarnations.
 class StatedLimits {
  public:
   LimitChange note(uint64_t engine, const LimitStatement& statement);
-  /// @return the statement in force, also where it ended a limit a moment ago.
+  /// @return the statement in effect, including one that recently ended a limit.
   std::optional<LimitStatement> find(uint64_t engine) const;
-  /// @return the stated requests a second; nothing where none is in force.
+  /// @return the limit in requests per second; nothing if there is none.
   std::optional<double> rateOf(uint64_t engine) const;
-  /// Notes that the back end takes no further request until then.
+  /// Records that no permit for the back end is available before `until`.
   void noteWait(uint64_t engine, Time until);
-  /// @return the time until a request may be permitted, as far as is known; nothing where the back
-  ///         end states no limit.
+  /// @return the known time until a permit may be available; nothing if the back end states no
+  ///         limit.
   std::optional<Duration> permitDue(uint64_t engine, Time now) const;
-  /// Lets a request pass on this node's part of the limit, where nobody answers who counts for all.
+  /// Uses this node's share of the limit when the node that grants permits does not answer.
+  /// @return whether the request may be sent.
   bool takeUnasked(uint64_t engine, size_t nodes, Time now);
-  /// @return back ends of which a statement is kept.
+  /// @return the back ends with a stored statement.
   std::vector<uint64_t> engines() const;
-  /// @return back ends that state a limit.
+  /// @return the number of back ends that state a limit.
   size_t count() const;
-  /// Forgets limits that ended a while ago, and those of back ends that are not listed any more.
+  /// Removes limits that ended a while ago, and old ones of back ends that are no longer listed.
   void forgetOld(const std::function<bool(uint64_t)>& isListed, Time now);
 
  private:
   struct Entry {
     LimitStatement statement;
-    Time permitAt;                       ///< No permit is to be had before.
-    std::optional<TokenBucket> unasked;  ///< Of requests that nobody permitted.
+    Time permitAt;                           ///< No permit is available before this time.
+    std::optional<TokenBucket> unpermitted;  ///< For requests sent without a permit.
   };
 
   mutable std::mutex mutex_;
   std::unordered_map<uint64_t, Entry> entries_;
-  std::atomic<bool> isEmpty_{true};  ///< Choices ask for each back end: most times there is none.
+  /// Avoids the lock in the common case of no limits, as each choice asks for each back end.
+  std::atomic<bool> isEmpty_{true};
 };
 
 }  // namespace fernmoor::gateway
--- a/src/gateway/table_in_force.h
+++ b/src/gateway/table_in_force.h
@@ -1,10 +1,10 @@
 /// @file
-/// The table in force on this node and the proof of how new it is. Versions never go back within
-/// one life of the process.
+/// The table in force on this node and the time of its last confirmed read. The version never
+/// decreases within one incarnation of the process.
 ///
-/// The proof is the instant at which the newest question to the rows' store *began* whose answer
-/// showed nothing newer: whatever was acknowledged before that instant is in force here. It ages by
-/// the steady clock, so that a process that was stopped finds it old when it goes on.
+/// The time of the last confirmed read is when the newest read of the rows' store *began* whose
+/// answer showed no newer table: everything acknowledged before that time is in force here. Its age
+/// is measured by the steady clock, so a process that was paused finds it old when it resumes.
 #pragma once
 
 #include <memory>
@@ -16,23 +16,24 @@
 
 namespace fernmoor::gateway {
 
-/// The table at one moment, with the start of its proof.
+/// A snapshot of the table and the time of its last confirmed read.
 struct TableView {
-  TrafficTablePtr table;  ///< Null until the first one came.
-  Time provenAt;          ///< Meaningless while there is no table.
+  TrafficTablePtr table;  ///< Null until the first table arrives.
+  Time provenAt;          ///< Start of the last confirmed read; meaningless without a table.
 
-  /// @return whether everything acknowledged up to `age` before now is in force.
+  /// @return whether everything acknowledged at least `age` before `now` is in force.
   bool isFresh(Time now, Duration age) const { return table != nullptr && now - provenAt <= age; }
 };
 
 /// Thread-safe.
 class TableInForce {
  public:
-  /// Takes what a question that began at `askedAt` was answered with.
-  /// @return whether the table replaced the one in force; an older version is ignored, and proves
+  /// Processes the table returned by a read that began at `askedAt`.
+  /// @return whether the table replaced the one in force. An older version is ignored and confirms
   ///         nothing.
   bool take(TrafficTablePtr table, Time askedAt);
-  /// A question that began at `askedAt` showed that the table in force is still the newest.
+  /// Records that a read that began at `askedAt` showed `version` to be the newest. Ignored if the
+  /// table in force has another version.
   void confirm(uint64_t version, Time askedAt);
   TableView view() const;
 
--- a/src/gateway/tenant_limits.h
+++ b/src/gateway/tenant_limits.h
@@ -1,5 +1,5 @@
 /// @file
-/// What a tenant may ask of all nodes together, and what one request counts of it.
+/// Tenants' limits over all nodes, and the cost of a request against its tenant's limit.
 #pragma once
 
 #include "common/error.h"
@@ -7,18 +7,18 @@
 
 namespace fernmoor::gateway {
 
-/// @return what the request counts against its tenant's limit, in the limit's unit: one request, or
-///         its tokens (prompt and longest answer), or the fixed number of a request without tokens.
+/// @return the cost of the request in the unit of its tenant's limit: one request; or its tokens
+///         (prompt and longest answer), or the tenant's fixed cost if it states no tokens.
 double limitCostOf(const IncomingRequest& request);
 
 /// Limits of tenants over all nodes. Implementations are thread-safe.
 class TenantLimits {
  public:
   virtual ~TenantLimits() = default;
-  /// Counts a request of that cost; may wait some milliseconds for another node.
-  /// @return kRateLimited with the time until there is room again.
+  /// Charges a request of that cost. May block for some milliseconds for another node's answer.
+  /// @return kRateLimited with the time to wait if the tenant is over its limit.
   virtual Result<Done> acquire(const Tenant& tenant, double cost) = 0;
-  /// Takes back what a request counted that no back end ran.
+  /// Refunds the cost of a request that no back end ran.
   virtual void giveBack(const Tenant& tenant, double cost) = 0;
 };
 
--- a/src/gateway/traffic_table.cpp
+++ b/src/gateway/traffic_table.cpp
@@ -44,7 +44,7 @@
     return nullptr;
   }
   const std::vector<RowPtr>& rows = found->second;
-  // Prefixes end with a slash, so only the path's own beginnings up to a slash can match.
+  // Prefixes end with a slash, so only prefixes of the path that end with a slash can match.
   for (size_t end = path.rfind('/'); end != std::string::npos;
        end = end == 0 ? std::string::npos : path.rfind('/', end - 1)) {
     const std::string prefix = path.substr(0, end + 1);
--- a/src/gateway/traffic_table.h
+++ b/src/gateway/traffic_table.h
@@ -1,7 +1,7 @@
 /// @file
-/// The operators' rows as the request path reads them: an immutable snapshot of one version. A row
-/// says for the requests of one host and path which pool of back ends serves them, how long they
-/// may take and whether they may run again; tenants and their keys stand beside the rows.
+/// The operators' rows as read by the request path: an immutable snapshot of one version. A row
+/// states for the requests of one host and path prefix which pools of back ends serve them, their
+/// timeout, and whether they may be retried. The table also has the tenants and their keys.
 #pragma once
 
 #include <cstdint>
@@ -19,19 +19,19 @@
 
 namespace fernmoor::gateway {
 
-/// What a request of a row may be done with after it may have run.
+/// Whether a request that may have run already may be sent again.
 enum class Repetition {
   kRepeatable,  ///< May run more than once.
   kOnce,        ///< May run at most once.
 };
 
-/// One part of a row's traffic.
+/// A pool and its share of a row's traffic.
 struct WeightedPool {
   std::string pool;
   double weight = 1;
 };
 
-/// One row.
+/// How to route the requests of one host and path prefix.
 struct Row {
   std::string name;
   std::string host;        ///< In lower case, without a port.
@@ -39,42 +39,42 @@
   std::vector<WeightedPool> pools;
   Repetition repetition = Repetition::kOnce;
   bool isStream = false;      ///< Answers are event streams.
-  bool isResumable = false;   ///< A stream may go on elsewhere after its last event.
+  bool isResumable = false;   ///< A stream may resume on another back end after its last event.
   bool isPublic = false;      ///< Needs no key.
-  bool usesPrefixes = false;  ///< Engines that hold a prompt's beginning are preferred.
+  bool usesPrefixes = false;  ///< Engines that have cached a prefix of the prompt are preferred.
   Duration timeout{30000000};
   Duration target{1000000};
-  int maxAttempts = 1;  ///< Most back ends that may run one request.
+  int maxAttempts = 1;  ///< Maximum number of back ends that may run one request.
   int priority = 0;     ///< 0 is the highest.
 };
 
-/// Rows are shared by all versions of the table in which they are the same.
+/// A row is shared by all versions of the table in which it is unchanged.
 using RowPtr = std::shared_ptr<const Row>;
 
-/// One tenant.
+/// A customer with its own limits and priority.
 struct Tenant {
   std::string name;
-  bool isIsolated = false;  ///< Shares no cached prompt with others.
+  bool isIsolated = false;  ///< Shares no cached prompts with other tenants.
   int priority = 0;
   RowLimits limits{};            ///< Over all nodes and services.
-  double costWithoutTokens = 1;  ///< Of a request that tells no tokens, where these are limited.
+  double costWithoutTokens = 1;  ///< Cost of a request without token counts under a token limit.
 };
 
-/// What is known of a pool beside its members.
+/// Properties of a pool other than its members.
 struct Pool {
   std::string name;
-  int maxConnections = 0;  ///< Of all callers together to one member; 0: unknown.
+  int maxConnections = 0;  ///< Limit per member for all callers together; 0: unknown.
   bool servesModels = false;
-  double tokenBytes = 0;  ///< Cached memory of one token; 0: unknown.
-  EngineRoom room;        ///< Of each engine; zeros: unknown.
+  double tokenBytes = 0;  ///< Cache memory of one token in bytes; 0: unknown.
+  EngineRoom room;        ///< Capacity of each engine; zeros: unknown.
 };
 
-/// A store of cached prompts beside the engines.
+/// A store of cached prompts outside the engines.
 struct CacheStore {
   SocketAddress address;
 };
 
-/// Bounds on what callers send.
+/// Limits on callers' requests.
 struct CallerLimits {
   size_t maxHeaderBytes = 16384;
   size_t maxBodyBytes = 4U << 20U;
@@ -91,21 +91,21 @@
   bool hasTenants = false;
 
   void addRow(Row row);
-  /// @param row with its host as normalizedHost() gives it.
+  /// @param row its host must be in the form that normalizedHost() returns.
   void addRow(RowPtr row);
   void addPool(Pool pool);
-  /// @param keys keys that speak for the tenant.
+  /// @param keys the API keys of the tenant.
   void addTenant(const Tenant& tenant, const std::vector<std::string>& keys);
-  /// Call once after the last row. Of rows with one host and prefix, the first holds.
+  /// Call once after the last row. Of rows with the same host and prefix, the first one is used.
   void sortRows();
 
-  /// @param host as the caller gave it; a port is ignored.
+  /// @param host as sent by the caller; a port is ignored.
   /// @param path without the query.
-  /// @return the row with the longest prefix of the path, or null.
+  /// @return the row with the longest matching path prefix, or null.
   const Row* findRow(const std::string& host, const std::string& path) const;
-  /// @return the tenant of the key, or null.
+  /// @return the tenant with that API key, or null.
   const Tenant* findTenant(const std::string& key) const;
-  /// @return the pool, or null.
+  /// @return the pool with that name, or null.
   const Pool* findPool(const std::string& name) const;
   size_t rowCount() const { return rowCount_; }
 
--- a/src/gateway/work_state.h
+++ b/src/gateway/work_state.h
@@ -1,8 +1,8 @@
 /// @file
-/// Whether this process takes new work, and what it still has to do: the planned stop.
+/// Graceful shutdown: whether this process accepts new requests, and when it may exit.
 ///
-/// After the order to stop, callers need a moment to be led elsewhere, so requests are still taken
-/// for a while; each must have the time to end before the process is killed.
+/// Callers need some time after the stop signal to be routed to other nodes, so requests are still
+/// accepted for a while. Each must have enough time to end before the process is killed.
 #pragma once
 
 #include <atomic>
@@ -13,11 +13,11 @@
 
 namespace fernmoor::gateway {
 
-/// Times of a planned stop, from the order on.
+/// Times of a graceful shutdown, measured from the stop signal.
 struct StopTimes {
-  Duration leaveAfter{3200000};  ///< Until then callers may not know that we stop.
-  Duration takeFor{2850000};     ///< Requests that come later are refused.
-  Duration endBy{7700000};       ///< Requests that still run then are broken off.
+  Duration leaveAfter{3200000};  ///< Before this, callers may not know that the node stops.
+  Duration takeFor{2850000};     ///< Requests that arrive later are refused.
+  Duration endBy{7700000};       ///< Requests still running then are aborted.
 };
 
 /// Thread-safe.
@@ -27,12 +27,12 @@
 
   void stop(Time now);
   bool isStopping() const { return stopping_; }
-  /// @return whether a request that comes now is served.
+  /// @return whether a request that arrives now is served.
   bool takesWork(Time now) const;
-  /// @return whether the process may end: all is answered and callers were led elsewhere, or the
-  ///         time is over.
+  /// @return whether the process may exit: all requests have ended and callers have been routed to
+  ///         other nodes, or the time for the shutdown is over.
   bool mayEnd(Time now) const;
-  /// @return whether the time of a stop is over, whatever still runs.
+  /// @return whether the time for the shutdown is over, even if requests are still running.
   bool isTimeOver(Time now) const;
   int active() const { return active_; }
 
--- a/src/weights/ledger_view.cpp
+++ b/src/weights/ledger_view.cpp
@@ -17,7 +17,7 @@
   if (ledger.revision <= seen_.ledger.revision) {
     return false;
   }
-  seen_ = SeenLedger{ledger, now};
+  seen_ = ObservedLedger{ledger, now};
   return true;
 }
 
@@ -26,7 +26,7 @@
   return seen_.ledger.holder;
 }
 
-SeenLedger LedgerView::seen() const {
+ObservedLedger LedgerView::seen() const {
   const std::lock_guard<std::mutex> lock(mutex_);
   return seen_;
 }
--- a/src/weights/move_hints.h
+++ b/src/weights/move_hints.h
@@ -1,7 +1,7 @@
 /// @file
-/// What other nodes need to know of the ledger of moves: which engines are about to be busy.
-/// Whoever follows the ledger turns it into hints and passes only new ones on, so that what a move
-/// costs each node does not grow with the length of the ledger.
+/// Extracts from the ledger of weight moves what other nodes need: which engines are about to be
+/// busy. The node that watches the ledger turns it into hints and forwards only new ones, so that
+/// the cost of a move on each node does not grow with the length of the ledger.
 #pragma once
 
 #include <cstdint>
@@ -12,18 +12,18 @@
 
 namespace fernmoor::weights {
 
-/// One move that was about to be ordered lately.
+/// A move that was recently announced in the ledger.
 struct MoveHint {
   std::string engine;
-  uint64_t revision = 0;  ///< Of the ledger that first named it here.
+  uint64_t revision = 0;  ///< Ledger revision in which this node first saw the move.
   Time at;
 };
 
 /// Not thread-safe.
 class MoveHints {
  public:
-  /// Takes a ledger that was read.
-  /// @return hints of the moves that are still young; a hint keeps the revision that it had before.
+  /// Updates the hints from a ledger that was read; an older revision changes nothing.
+  /// @return hints for the moves of the last second; a known hint keeps its revision.
   const std::vector<MoveHint>& take(const Ledger& ledger, Time now);
 
  private:
--- a/src/weights/weight_mover.cpp
+++ b/src/weights/weight_mover.cpp
@@ -9,39 +9,40 @@
 
 namespace {
 
-constexpr Duration kIdleStep{500000};
-constexpr Duration kBusyStep{60000};
-constexpr Duration kAfterFailure{200000};
-/// The ledger stands still for so long before another node steps in.
-constexpr Duration kStandstill{1100000};
-constexpr Duration kStandstillSpread{500000};
-/// An order is given this soon after its intent began to be written, or not at all.
+constexpr Duration kIdleInterval{500000};
+constexpr Duration kActiveInterval{60000};
+constexpr Duration kRetryInterval{200000};
+/// A ledger that has not changed for this long is taken over by another node. The random part keeps
+/// nodes from writing at the same time.
+constexpr Duration kLeaderTimeout{1100000};
+constexpr Duration kLeaderTimeoutJitter{500000};
+/// An order is sent within this time after the write of its intent began, or not at all.
 constexpr Duration kIntentLifetime{350000};
-/// An order that is given up is reset, so nothing of it arrives later than this after it was begun:
-/// the bound of a call to an engine, once to connect and once for the answer.
-constexpr Duration kLongestOrder{500000};
-/// A process without processor time stands still so long between a look at the clock and its send:
-/// one and a half periods of a quota of 100 ms.
-constexpr Duration kLongestStandstill{150000};
-/// Beyond the time between the orders of two nodes, until nothing of the predecessor's can arrive:
-/// engines that check no fences would carry it out.
-constexpr Duration kTurnMargin = kIntentLifetime + kLongestOrder + kLongestStandstill;
-/// An engine lists its new weights itself; only if that does not come is it asked.
-constexpr Duration kFirstQuestion{1200000};
-constexpr Duration kNextQuestion{250000};
-/// A move that takes longer is looked at anew.
-constexpr Duration kLongestMove{4000000};
-constexpr Duration kSkipSilentEngine{1000000};
-/// Engines to one move at a time, and the fewest moves at once.
+/// The connection of an abandoned order is reset, so no part of it arrives later than this after it
+/// was started: the timeout of a call to an engine, once to connect and once for the answer.
+constexpr Duration kMaxOrderDelivery{500000};
+/// Longest pause between reading the clock and sending in a process that is throttled by its CPU
+/// quota: one and a half quota periods of 100 ms.
+constexpr Duration kMaxProcessPause{150000};
+/// Added to MoverOptions::leaderChangeDelay until no order of the former leader can still arrive:
+/// engines that do not check fencing tokens would execute it.
+constexpr Duration kLeaderChangeMargin = kIntentLifetime + kMaxOrderDelivery + kMaxProcessPause;
+/// An engine lists its new weights itself; it is polled only if the listing does not show up.
+constexpr Duration kFirstPollDelay{1200000};
+constexpr Duration kPollInterval{250000};
+/// A move that takes longer is no longer tracked, and its engine is planned again.
+constexpr Duration kMoveTimeout{4000000};
+constexpr Duration kUnresponsiveBackoff{1000000};
+/// One concurrent move is allowed per this many engines, but at least the minimum below.
 constexpr size_t kEnginesPerMove = 6;
-constexpr size_t kFewestAtOnce = 2;
-/// New requests leave an engine alone for this part more than a move usually takes.
+constexpr size_t kMinConcurrentMoves = 2;
+/// New requests avoid a moving engine for the usual duration of a move times this factor.
 constexpr double kAvoidFactor = 1.1;
 constexpr double kLearningRate = 0.3;
-/// Beyond the time for which a move of another holder must be left alone.
-constexpr Duration kLedgerMargin{600000};
+/// Moves are kept in the ledger for this long after they stop blocking other nodes.
+constexpr Duration kLedgerRetention{600000};
 
-/// @return whether the ledger holds the last move of `intended` for every engine that it names.
+/// @return whether the ledger has every move of `holder` that `intended` has.
 bool holdsMoves(const Ledger& ledger, const Ledger& intended, const std::string& holder) {
   return std::all_of(intended.moves.begin(), intended.moves.end(), [&](const LedgerMove& wanted) {
     return wanted.holder != holder ||
@@ -56,15 +57,15 @@
 
 WeightMover::WeightMover(MoverServices services, MoverOptions options)
     : services_(services), options_(std::move(options)), random_(options_.randomSeed) {
-  stepInDelay_ = kStandstill + random_.between(Duration(0), kStandstillSpread);
+  takeoverDelay_ = kLeaderTimeout + random_.between(Duration(0), kLeaderTimeoutJitter);
 }
 
-size_t WeightMover::atOnce(const std::vector<BackendListing>& listings) {
+size_t WeightMover::maxConcurrentMoves(const std::vector<BackendListing>& listings) {
   size_t engines = 0;
   for (const BackendListing& listing : listings) {
     engines += listing.weights.empty() ? 0 : 1;
   }
-  return std::max(kFewestAtOnce, engines / kEnginesPerMove);
+  return std::max(kMinConcurrentMoves, engines / kEnginesPerMove);
 }
 
 void WeightMover::learnMoveTime(Duration took) {
@@ -86,55 +87,56 @@
   return report;
 }
 
-bool WeightMover::stillLives(const std::string& engine, const UnderWay& move) const {
+bool WeightMover::isStillRunning(const std::string& engine, const ActiveMove& move) const {
   const std::optional<BackendListing> listing = services_.engines.find(engine);
   return listing && !listing->isDraining && incarnationHash(*listing) == move.incarnation;
 }
 
-void WeightMover::askWhetherDone(const std::string& engine, UnderWay& move) {
+void WeightMover::pollProgress(const std::string& engine, ActiveMove& move) {
   const Result<EngineReport> report = reportOf(engine, move.model);
   if (isOk(report) && !valueOf(report).isBusy) {
     services_.engines.noteWeights(engine, move.model, valueOf(report).version);
   }
-  move.askAt = services_.clock.now() + kNextQuestion;
+  move.nextPollAt = services_.clock.now() + kPollInterval;
 }
 
-void WeightMover::followMoves(Time now) {
-  for (auto move = underWay_.begin(); move != underWay_.end();) {
-    UnderWay& state = move->second;
-    if (now >= state.askAt) {
-      askWhetherDone(move->first, state);
+void WeightMover::trackMoves(Time now) {
+  for (auto move = activeMoves_.begin(); move != activeMoves_.end();) {
+    ActiveMove& state = move->second;
+    if (now >= state.nextPollAt) {
+      pollProgress(move->first, state);
     }
     const Time after = services_.clock.now();
     const bool done = listedVersion(move->first, state.model) >= state.version;
     if (done) {
-      learnMoveTime(after - state.since);
+      learnMoveTime(after - state.orderedAt);
     }
-    const bool givenUp = after - state.since > kLongestMove;
-    if (done || givenUp || !stillLives(move->first, state)) {
-      move = underWay_.erase(move);
+    const bool givenUp = after - state.orderedAt > kMoveTimeout;
+    if (done || givenUp || !isStillRunning(move->first, state)) {
+      move = activeMoves_.erase(move);
     } else {
       ++move;
     }
   }
 }
 
-bool WeightMover::isMyTurn(const SeenLedger& seen, const WeightPlan& plan, const MoverPlace& place,
-                           Time now) const {
+bool WeightMover::mayLead(const ObservedLedger& seen, const WeightPlan& plan,
+                          const MoverPlace& position, Time now) const {
   const Ledger& ledger = seen.ledger;
   if (ledger.holder == options_.node) {
     return true;
   }
-  const Duration delay = stepInDelay_ + kStandstill * static_cast<Duration::rep>(place.rank);
+  const Duration delay =
+      takeoverDelay_ + kLeaderTimeout * static_cast<Duration::rep>(position.rank);
   if (countOf(ledger.revision) == 0 || ledger.holder.empty()) {
-    return now >= *plan.startBy + delay - kStandstill;
+    return now >= *plan.startBy + delay - kLeaderTimeout;
   }
   return now >= *plan.startBy + delay && now >= seen.changedAt + delay;
 }
 
-bool WeightMover::standsStill(const SeenLedger& seen, const MoverPlace& place) {
-  if (place.followsLedger || seen.ledger.holder == options_.node) {
-    return true;  // A holder that was overtaken is told so by its next write.
+bool WeightMover::isLedgerUnchanged(const ObservedLedger& seen, const MoverPlace& position) {
+  if (position.followsLedger || seen.ledger.holder == options_.node) {
+    return true;  // The next conditional write of a leader that was replaced fails.
   }
   const Result<Ledger> found = services_.store.read();
   if (!isOk(found)) {
@@ -143,16 +145,17 @@
   return !services_.view.take(valueOf(found), services_.clock.now());
 }
 
-bool WeightMover::mayLackMoves(const Ledger& ledger, Time now) const {
+bool WeightMover::mayBeMissingMoves(const Ledger& ledger, Time now) const {
   const std::optional<Time> wentBack = services_.store.wentBackBy(ledger);
-  // Orders of before rest on intents that the store had taken by then.
-  return wentBack && now < *wentBack + options_.orderTurn + kTurnMargin;
+  // Intents lost in the restore were written before it, so their orders have ended after this time.
+  return wentBack && now < *wentBack + options_.leaderChangeDelay + kLeaderChangeMargin;
 }
 
-bool WeightMover::isLeftAlone(const std::string& engine, const Ledger& ledger, Time now) const {
+bool WeightMover::isBlockedByOtherNode(const std::string& engine, const Ledger& ledger,
+                                       Time now) const {
   return std::any_of(ledger.moves.begin(), ledger.moves.end(), [&](const LedgerMove& move) {
     return move.engine == engine && move.holder != options_.node &&
-           now < move.at + options_.orderTurn + kTurnMargin;
+           now < move.at + options_.leaderChangeDelay + kLeaderChangeMargin;
   });
 }
 
@@ -166,13 +169,13 @@
     if (picked.size() >= room) {
       break;
     }
-    if (underWay_.count(move.engine) > 0 || isLeftAlone(move.engine, ledger, now) ||
+    if (activeMoves_.count(move.engine) > 0 || isBlockedByOtherNode(move.engine, ledger, now) ||
         (skipped != skipUntil_.end() && now < skipped->second)) {
       continue;
     }
     const Result<EngineReport> report = reportOf(move.engine, move.model);
     if (!isOk(report)) {
-      skipUntil_[move.engine] = services_.clock.now() + kSkipSilentEngine;
+      skipUntil_[move.engine] = services_.clock.now() + kUnresponsiveBackoff;
       continue;
     }
     if (valueOf(report).version >= move.version) {
@@ -193,10 +196,11 @@
   }
   services_.view.take(valueOf(found), services_.clock.now());
   const Ledger& current = valueOf(found);
-  // An earlier write of ours may have been done late: only the very moves intended count.
+  // An earlier write of this node may have taken effect late, so the ledger must have exactly the
+  // moves of this write.
   const bool ours = current.revision > intended.revision && current.holder == options_.node &&
                     holdsMoves(current, intended, options_.node) &&
-                    !mayLackMoves(current, services_.clock.now());
+                    !mayBeMissingMoves(current, services_.clock.now());
   return ours ? std::optional<uint64_t>(current.revision) : std::nullopt;
 }
 
@@ -204,7 +208,8 @@
                                                  const std::vector<Candidate>& candidates) {
   const Time now = services_.clock.now();
   ledger.holder = options_.node;
-  ledger.moves = movesSince(ledger, now - options_.orderTurn - kTurnMargin - kLedgerMargin);
+  ledger.moves =
+      movesSince(ledger, now - options_.leaderChangeDelay - kLeaderChangeMargin - kLedgerRetention);
   for (const Candidate& candidate : candidates) {
     ledger.moves.push_back(LedgerMove{candidate.move.engine, candidate.move.model,
                                       candidate.move.version, options_.node, now});
@@ -222,15 +227,15 @@
   return ledger.revision;
 }
 
-void WeightMover::giveOrders(const std::vector<Candidate>& candidates, uint64_t fence,
+void WeightMover::sendOrders(const std::vector<Candidate>& candidates, uint64_t fence,
                              Time intendedAt) {
   for (const Candidate& candidate : candidates) {
     const Time now = services_.clock.now();
     if (now - intendedAt > kIntentLifetime) {
-      return;  // Too long since the intent: another node may have taken over.
+      return;  // The intent is too old: another node may have become leader.
     }
-    const Duration leave = fromSeconds(toSeconds(bounds_.moveTime) * kAvoidFactor);
-    services_.engines.avoidUntil(candidate.move.engine, now + leave);
+    const Duration avoidFor = fromSeconds(toSeconds(bounds_.moveTime) * kAvoidFactor);
+    services_.engines.avoidUntil(candidate.move.engine, now + avoidFor);
     WeightOrder order;
     order.engine = candidate.move.engine;
     order.model = candidate.move.model;
@@ -245,10 +250,11 @@
             fields);
     if (answer == OrderAnswer::kTaken || answer == OrderAnswer::kHolds) {
       const std::optional<BackendListing> listing = services_.engines.find(order.engine);
-      underWay_[order.engine] = UnderWay{order.model, order.version, now, now + kFirstQuestion,
-                                         listing ? incarnationHash(*listing) : 0};
+      activeMoves_[order.engine] =
+          ActiveMove{order.model, order.version, now, now + kFirstPollDelay,
+                     listing ? incarnationHash(*listing) : 0};
     } else if (answer == OrderAnswer::kUnknown) {
-      skipUntil_[order.engine] = services_.clock.now() + kAfterFailure;
+      skipUntil_[order.engine] = services_.clock.now() + kRetryInterval;
     }
   }
 }
@@ -256,88 +262,89 @@
 void WeightMover::handOver() {
   Ledger ledger = services_.view.seen().ledger;
   if (countOf(ledger.revision) == 0 || ledger.holder != options_.node ||
-      mayLackMoves(ledger, services_.clock.now())) {
+      mayBeMissingMoves(ledger, services_.clock.now())) {
     return;
   }
   ledger.holder.clear();
   const Result<LedgerOutcome> outcome = services_.store.write(ledger);
-  logInfo(isOk(outcome) ? "weights: handed over" : "weights: handing over failed");
+  logInfo(isOk(outcome) ? "weights: handed over" : "weights: could not hand over leadership");
 }
 
-const char* WeightMover::phraseOf(Waiting why) {
+const char* WeightMover::descriptionOf(WaitReason why) {
   switch (why) {
-    case Waiting::kUntilDue:
+    case WaitReason::kNotDue:
       return "not due yet";
-    case Waiting::kForMoves:
-      return "as many as may be at once are under way";
-    case Waiting::kForTurn:
+    case WaitReason::kMoveLimit:
+      return "the maximum number of concurrent moves is running";
+    case WaitReason::kNotLeader:
       return "another node has the turn";
-    case Waiting::kForEngines:
-      return "none of them can be ordered now";
-    case Waiting::kForLedger:
-      return "the ledger could not be written";
-    case Waiting::kForLostMoves:
+    case WaitReason::kNoEngineAvailable:
+      return "none of them accepts an order now";
+    case WaitReason::kLedgerWriteFailed:
+      return "the ledger write failed";
+    case WaitReason::kStoreRestored:
       return "the store came back from an old copy, orders of before may count still";
-    case Waiting::kNot:
+    case WaitReason::kNone:
       return "orders are given";
   }
   return "";
 }
 
-void WeightMover::tell(Waiting why, const WeightPlan& plan) {
-  const bool isNews = why != told_;
-  told_ = why;
-  if (isNews) {
-    logInfo("weights: " + std::to_string(plan.moves.size()) + " engines behind, " + phraseOf(why));
+void WeightMover::logWaitReason(WaitReason why, const WeightPlan& plan) {
+  const bool isNew = why != loggedReason_;
+  loggedReason_ = why;
+  if (isNew) {
+    logInfo("weights: " + std::to_string(plan.moves.size()) + " engines behind, " +
+            descriptionOf(why));
   }
 }
 
-Duration WeightMover::step(const MoverPlace& place) {
-  followMoves(services_.clock.now());
+Duration WeightMover::step(const MoverPlace& position) {
+  trackMoves(services_.clock.now());
   const std::vector<BackendListing> listings = services_.engines.all();
-  bounds_.atOnce = atOnce(listings);
+  bounds_.maxConcurrentMoves = maxConcurrentMoves(listings);
   const WeightPlan plan = planMoves(listings, services_.wanted, bounds_);
   const Time now = services_.clock.now();
   if (!plan.startBy) {
-    return underWay_.empty() ? kIdleStep : kBusyStep;
+    return activeMoves_.empty() ? kIdleInterval : kActiveInterval;
   }
   if (now < *plan.startBy) {
-    tell(Waiting::kUntilDue, plan);
-    const Duration wait = std::min(kIdleStep, *plan.startBy - now);
-    return underWay_.empty() ? wait : std::min(wait, kBusyStep);
+    logWaitReason(WaitReason::kNotDue, plan);
+    const Duration wait = std::min(kIdleInterval, *plan.startBy - now);
+    return activeMoves_.empty() ? wait : std::min(wait, kActiveInterval);
   }
-  if (underWay_.size() >= bounds_.atOnce) {
-    tell(Waiting::kForMoves, plan);
-    return kBusyStep;
+  if (activeMoves_.size() >= bounds_.maxConcurrentMoves) {
+    logWaitReason(WaitReason::kMoveLimit, plan);
+    return kActiveInterval;
   }
-  const SeenLedger seen = services_.view.seen();
-  if (!isMyTurn(seen, plan, place, now)) {
-    tell(Waiting::kForTurn, plan);
-    return kBusyStep * 2;
+  const ObservedLedger seen = services_.view.seen();
+  if (!mayLead(seen, plan, position, now)) {
+    logWaitReason(WaitReason::kNotLeader, plan);
+    return kActiveInterval * 2;
   }
-  if (!standsStill(seen, place)) {
-    tell(Waiting::kForTurn, plan);
-    return kAfterFailure;
+  if (!isLedgerUnchanged(seen, position)) {
+    logWaitReason(WaitReason::kNotLeader, plan);
+    return kRetryInterval;
   }
-  if (mayLackMoves(seen.ledger, now)) {
-    tell(Waiting::kForLostMoves, plan);
-    return kAfterFailure;
+  if (mayBeMissingMoves(seen.ledger, now)) {
+    logWaitReason(WaitReason::kStoreRestored, plan);
+    return kRetryInterval;
   }
   const std::vector<Candidate> candidates =
-      pickCandidates(seen.ledger, plan, bounds_.atOnce - underWay_.size());
+      pickCandidates(seen.ledger, plan, bounds_.maxConcurrentMoves - activeMoves_.size());
   if (candidates.empty()) {
-    tell(Waiting::kForEngines, plan);
-    return kBusyStep;
+    logWaitReason(WaitReason::kNoEngineAvailable, plan);
+    return kActiveInterval;
   }
   const Time intendedAt = services_.clock.now();
   const std::optional<uint64_t> fence = writeIntent(seen.ledger, candidates);
   if (!fence) {
-    tell(Waiting::kForLedger, plan);
-    return kAfterFailure;
+    logWaitReason(WaitReason::kLedgerWriteFailed, plan);
+    return kRetryInterval;
   }
-  tell(Waiting::kNot, plan);
-  giveOrders(candidates, *fence, intendedAt);
-  return kBusyStep;
+  logWaitReason(WaitReason::kNone, plan);
+  sendOrders(candidates, *fence, intendedAt);
+  return kActiveInterval;
 }
 
 }  // namespace fernmoor::weights
--- a/src/weights/weight_mover.h
+++ b/src/weights/weight_mover.h
@@ -1,8 +1,9 @@
 /// @file
-/// Moves engines to new weights. Every node runs one; the node that wrote to the ledger last goes
-/// on as long as its process lives, whatever other duties come and go, and the others step in where
-/// moves are due and the ledger stands still, one after the other. So a turn is laid down only
-/// where somebody else takes it up, and moves go on while any process lives.
+/// Moves engines to new weights. Every node runs a WeightMover. The node that wrote the ledger last
+/// is the leader and stays it while its process runs, independent of its other roles. The other
+/// nodes try to take over, in the order of their rank, when moves are due and the ledger has not
+/// changed for a while. Leadership ends only when another node takes it or on a handover at
+/// shutdown, so moves continue while any node runs.
 #pragma once
 
 #include <map>
@@ -20,12 +21,12 @@
 namespace fernmoor::weights {
 
 struct MoverOptions {
-  std::string node;             ///< This node's name, as the holder of orders.
-  Duration orderTurn{3000000};  ///< Between the orders of two nodes to one engine.
+  std::string node;                     ///< This node's name, written to the ledger as holder.
+  Duration leaderChangeDelay{3000000};  ///< Minimum time between orders of two nodes to one engine.
   uint64_t randomSeed = 0;
 };
 
-/// What the mover works with; all outlive it.
+/// Dependencies of the mover; all outlive it.
 struct MoverServices {
   const Clock& clock;
   BackendSet& engines;
@@ -35,10 +36,10 @@
   EngineOrders& orders;
 };
 
-/// How near this node is to the turn while another node has it.
+/// When this node takes over from a leader that stopped writing.
 struct MoverPlace {
-  bool followsLedger = true;  ///< It is shown each change of the ledger; else it reads it first.
-  size_t rank = 0;            ///< So many nodes step in earlier.
+  bool followsLedger = true;  ///< It watches the ledger; otherwise it reads it before taking over.
+  size_t rank = 0;            ///< Number of nodes that try to take over earlier.
 };
 
 /// Not thread-safe: one thread calls step().
@@ -46,19 +47,21 @@
  public:
   WeightMover(MoverServices services, MoverOptions options);
 
-  /// Does what is due. @return when to call again at the latest.
-  Duration step(const MoverPlace& place = {});
-  /// @return whether this node is the one that moves engines, as far as it knows.
+  /// Tracks running moves and starts those that are due.
+  /// @return the longest time to wait before the next call.
+  Duration step(const MoverPlace& position = {});
+  /// @return whether this node is the leader, as far as it knows.
   bool holdsTurn() const { return services_.view.holder() == options_.node; }
-  /// Lets another node go on at once, before this one stops.
+  /// Clears the holder in the ledger so that another node can take over earlier. Call before this
+  /// node stops.
   void handOver();
 
  private:
-  struct UnderWay {
+  struct ActiveMove {
     std::string model;
     uint64_t version = 0;
-    Time since;
-    Time askAt;
+    Time orderedAt;
+    Time nextPollAt;
     uint64_t incarnation = 0;  ///< Of the engine that was ordered.
   };
   struct Candidate {
@@ -66,51 +69,51 @@
     EngineReport report;
   };
 
-  /// Why no order is given though engines are behind.
-  enum class Waiting {
-    kUntilDue,
-    kForMoves,
-    kForTurn,
-    kForEngines,
-    kForLedger,
-    kForLostMoves,
-    kNot
+  /// Why no order is sent although engines have old weights.
+  enum class WaitReason {
+    kNotDue,
+    kMoveLimit,
+    kNotLeader,
+    kNoEngineAvailable,
+    kLedgerWriteFailed,
+    kStoreRestored,
+    kNone
   };
 
-  static const char* phraseOf(Waiting why);
-  /// Tells why engines that are behind are not moved, whenever that changes.
-  void tell(Waiting why, const WeightPlan& plan);
-  void followMoves(Time now);
-  /// @return the engine's report; what it tells of its start is noted.
+  static const char* descriptionOf(WaitReason why);
+  /// Logs why engines with old weights are not moved, each time the reason changes.
+  void logWaitReason(WaitReason why, const WeightPlan& plan);
+  void trackMoves(Time now);
+  /// Fetches the engine's report and records its start time.
   Result<EngineReport> reportOf(const std::string& engine, const std::string& model);
-  /// @return whether the engine that was ordered has not ended since.
-  bool stillLives(const std::string& engine, const UnderWay& move) const;
+  /// @return whether the incarnation that got the order is still listed and not draining.
+  bool isStillRunning(const std::string& engine, const ActiveMove& move) const;
   uint64_t listedVersion(const std::string& engine, const std::string& model) const;
-  void askWhetherDone(const std::string& engine, UnderWay& move);
-  bool isMyTurn(const SeenLedger& seen, const WeightPlan& plan, const MoverPlace& place,
-                Time now) const;
-  /// Reads the ledger where this node isn't shown it.
-  /// @return whether it stands as it was seen last.
-  bool standsStill(const SeenLedger& seen, const MoverPlace& place);
-  /// @return whether orders may count still that the ledger lacks, as the store came back from an
-  ///         old copy; whose they were nobody can tell any more.
-  bool mayLackMoves(const Ledger& ledger, Time now) const;
-  bool isLeftAlone(const std::string& engine, const Ledger& ledger, Time now) const;
+  void pollProgress(const std::string& engine, ActiveMove& move);
+  bool mayLead(const ObservedLedger& seen, const WeightPlan& plan, const MoverPlace& position,
+               Time now) const;
+  /// Reads the ledger if this node does not watch it.
+  /// @return whether the ledger is the same as when it was last seen.
+  bool isLedgerUnchanged(const ObservedLedger& seen, const MoverPlace& position);
+  /// @return whether orders may be in effect that are missing from the ledger because the store was
+  ///         restored from an old copy. Which node sent them, and to which engines, is unknown.
+  bool mayBeMissingMoves(const Ledger& ledger, Time now) const;
+  bool isBlockedByOtherNode(const std::string& engine, const Ledger& ledger, Time now) const;
   std::vector<Candidate> pickCandidates(const Ledger& ledger, const WeightPlan& plan, size_t room);
   std::optional<uint64_t> writeIntent(Ledger ledger, const std::vector<Candidate>& candidates);
   std::optional<uint64_t> resolveUnknownWrite(const Ledger& intended);
-  void giveOrders(const std::vector<Candidate>& candidates, uint64_t fence, Time intendedAt);
+  void sendOrders(const std::vector<Candidate>& candidates, uint64_t fence, Time intendedAt);
   void learnMoveTime(Duration took);
-  static size_t atOnce(const std::vector<BackendListing>& listings);
+  static size_t maxConcurrentMoves(const std::vector<BackendListing>& listings);
 
   MoverServices services_;
   MoverOptions options_;
   Random random_;
-  Duration stepInDelay_;
+  Duration takeoverDelay_;
   PlanBounds bounds_;
-  std::map<std::string, UnderWay> underWay_;
-  std::map<std::string, Time> skipUntil_;  ///< Engines that did not answer lately.
-  Waiting told_ = Waiting::kNot;           ///< What tell() was told last.
+  std::map<std::string, ActiveMove> activeMoves_;
+  std::map<std::string, Time> skipUntil_;        ///< Engines that recently did not answer.
+  WaitReason loggedReason_ = WaitReason::kNone;  ///< The reason logged last.
 };
 
 }  // namespace fernmoor::weights
--- a/src/weights/weight_plan.cpp
+++ b/src/weights/weight_plan.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-void addOwed(const BackendListing& engine, const WantedWeights& wanted,
-             std::vector<PlannedMove>& moves) {
+void addRequiredMoves(const BackendListing& engine, const WantedWeights& wanted,
+                      std::vector<PlannedMove>& moves) {
   for (const HeldWeights& held : engine.weights) {
     const std::optional<Time> deadline = wanted.deadlineFor(held.model, held.version);
     if (deadline) {
@@ -23,16 +23,16 @@
   WeightPlan plan;
   for (const BackendListing& engine : engines) {
     if (!engine.isDraining) {
-      addOwed(engine, wanted, plan.moves);
+      addRequiredMoves(engine, wanted, plan.moves);
     }
   }
   std::stable_sort(
       plan.moves.begin(), plan.moves.end(),
       [](const PlannedMove& a, const PlannedMove& b) { return a.deadline < b.deadline; });
-  const size_t atOnce = std::max<size_t>(1, bounds.atOnce);
+  const size_t maxConcurrentMoves = std::max<size_t>(1, bounds.maxConcurrentMoves);
   for (size_t index = 0; index < plan.moves.size(); ++index) {
-    const auto turns = static_cast<Duration::rep>(index / atOnce + 1);
-    const Time latest = plan.moves[index].deadline - bounds.reserve - bounds.moveTime * turns;
+    const auto rounds = static_cast<Duration::rep>(index / maxConcurrentMoves + 1);
+    const Time latest = plan.moves[index].deadline - bounds.reserve - bounds.moveTime * rounds;
     plan.startBy = plan.startBy ? std::min(*plan.startBy, latest) : latest;
   }
   return plan;
--- a/src/weights/weight_plan.h
+++ b/src/weights/weight_plan.h
@@ -1,8 +1,8 @@
 /// @file
-/// When which engines are moved to new weights. A move drops the engine's cached prompts and
-/// engines take few at a time, so each is moved as late as its deadline allows, straight to the
-/// newest version: versions that come in quick succession are skipped (earliest deadline first,
-/// latest start).
+/// Schedules moves of engines to new weights: earliest deadline first, latest possible start. A
+/// move drops the engine's cached prompts and few engines can be moved at the same time, so each is
+/// moved as late as its deadline allows, directly to the newest version. Versions that follow each
+/// other quickly are skipped.
 #pragma once
 
 #include <optional>
@@ -15,7 +15,7 @@
 
 namespace fernmoor::weights {
 
-/// One move that is to be made.
+/// A move that has to be made.
 struct PlannedMove {
   std::string engine;
   std::string model;
@@ -23,14 +23,14 @@
   Time deadline;
 };
 
-/// What the plan goes by.
+/// Limits and durations that the plan is computed from.
 struct PlanBounds {
-  size_t atOnce = 2;          ///< Moves that may run at the same time.
-  Duration moveTime{800000};  ///< How long one takes, from order to order.
-  Duration reserve{2200000};  ///< Kept free for a takeover by another node.
+  size_t maxConcurrentMoves = 2;  ///< Maximum number of concurrent moves.
+  Duration moveTime{800000};      ///< Duration of one move, from its order to the next one.
+  Duration reserve{2200000};      ///< Time reserved for a takeover by another node.
 };
 
-/// The moves that are owed, the most urgent first, and when the first must start.
+/// The moves to make, the earliest deadline first, and when the first must start.
 struct WeightPlan {
   std::vector<PlannedMove> moves;
   std::optional<Time> startBy;
--- a/test/weights/weight_plan_test.cpp
+++ b/test/weights/weight_plan_test.cpp
@@ -40,7 +40,7 @@
   WantedWeights wanted(WeightBounds{});
   wanted.note("m", 2, at(0), at(0));
   PlanBounds bounds;
-  bounds.atOnce = 2;
+  bounds.maxConcurrentMoves = 2;
   bounds.moveTime = std::chrono::milliseconds(800);
   bounds.reserve = std::chrono::milliseconds(2200);
   std::vector<BackendListing> engines;
