--- a/src/weights/weight_mover.cpp
+++ b/src/weights/weight_mover.cpp
@@ -121,7 +121,7 @@
 }
 
 bool WeightMover::mayLead(const ObservedLedger& seen, const WeightPlan& plan,
-                          const MoverPlace& position, Time now) const {
+                          const TakeoverPosition& position, Time now) const {
   const Ledger& ledger = seen.ledger;
   if (ledger.holder == options_.node) {
     return true;
@@ -134,7 +134,7 @@
   return now >= *plan.startBy + delay && now >= seen.changedAt + delay;
 }
 
-bool WeightMover::isLedgerUnchanged(const ObservedLedger& seen, const MoverPlace& position) {
+bool WeightMover::isLedgerUnchanged(const ObservedLedger& seen, const TakeoverPosition& position) {
   if (position.followsLedger || seen.ledger.holder == options_.node) {
     return true;  // The next conditional write of a leader that was replaced fails.
   }
@@ -259,7 +259,7 @@
   }
 }
 
-void WeightMover::handOver() {
+void WeightMover::handOverLeadership() {
   Ledger ledger = services_.view.seen().ledger;
   if (countOf(ledger.revision) == 0 || ledger.holder != options_.node ||
       mayBeMissingMoves(ledger, services_.clock.now())) {
@@ -299,7 +299,7 @@
   }
 }
 
-Duration WeightMover::step(const MoverPlace& position) {
+Duration WeightMover::step(const TakeoverPosition& position) {
   trackMoves(services_.clock.now());
   const std::vector<BackendListing> listings = services_.engines.all();
   bounds_.maxConcurrentMoves = maxConcurrentMoves(listings);
--- a/src/weights/weight_mover.h
+++ b/src/weights/weight_mover.h
@@ -37,7 +37,7 @@
 };
 
 /// When this node takes over from a leader that stopped writing.
-struct MoverPlace {
+struct TakeoverPosition {
   bool followsLedger = true;  ///< It watches the ledger; otherwise it reads it before taking over.
   size_t rank = 0;            ///< Number of nodes that try to take over earlier.
 };
@@ -49,12 +49,12 @@
 
   /// Tracks running moves and starts those that are due.
   /// @return the longest time to wait before the next call.
-  Duration step(const MoverPlace& position = {});
+  Duration step(const TakeoverPosition& position = {});
   /// @return whether this node is the leader, as far as it knows.
-  bool holdsTurn() const { return services_.view.holder() == options_.node; }
+  bool isLeader() const { return services_.view.holder() == options_.node; }
   /// Clears the holder in the ledger so that another node can take over earlier. Call before this
   /// node stops.
-  void handOver();
+  void handOverLeadership();
 
  private:
   struct ActiveMove {
@@ -90,11 +90,11 @@
   bool isStillRunning(const std::string& engine, const ActiveMove& move) const;
   uint64_t listedVersion(const std::string& engine, const std::string& model) const;
   void pollProgress(const std::string& engine, ActiveMove& move);
-  bool mayLead(const ObservedLedger& seen, const WeightPlan& plan, const MoverPlace& position,
+  bool mayLead(const ObservedLedger& seen, const WeightPlan& plan, const TakeoverPosition& position,
                Time now) const;
   /// Reads the ledger if this node does not watch it.
   /// @return whether the ledger is the same as when it was last seen.
-  bool isLedgerUnchanged(const ObservedLedger& seen, const MoverPlace& position);
+  bool isLedgerUnchanged(const ObservedLedger& seen, const TakeoverPosition& position);
   /// @return whether orders may be in effect that are missing from the ledger because the store was
   ///         restored from an old copy. Which node sent them, and to which engines, is unknown.
   bool mayBeMissingMoves(const Ledger& ledger, Time now) const;
--- a/test/weights/weight_mover_test.cpp
+++ b/test/weights/weight_mover_test.cpp
@@ -103,7 +103,7 @@
   test::TestNode* first = world.holder();
   REQUIRE(first != nullptr);
   const uint64_t revision = world.store.ledger.revision;
-  first->mover.handOver();
+  first->mover.handOverLeadership();
   first->isAlive = false;
   world.run(std::chrono::milliseconds(700));
   CHECK(world.store.ledger.revision > revision + 1);
@@ -119,7 +119,7 @@
   world.run(std::chrono::milliseconds(3000));
   test::TestNode* first = world.holder();
   REQUIRE(first != nullptr);
-  first->place = MoverPlace{false, 0};
+  first->place = TakeoverPosition{false, 0};
   const size_t ordersBefore = world.engines.seen.size();
   world.run(std::chrono::milliseconds(4900));
   CHECK(world.engines.seen.size() > ordersBefore);
@@ -130,7 +130,7 @@
 TEST_CASE("where no node follows the ledger the first one in order that lives moves the engines") {
   WeightWorld world(4, 12);
   for (size_t rank = 1; rank <= 4; ++rank) {
-    world.nodes[rank - 1]->place = MoverPlace{false, rank};
+    world.nodes[rank - 1]->place = TakeoverPosition{false, rank};
   }
   SUBCASE("where nobody had the turn") {
     world.name(2);
@@ -152,7 +152,7 @@
 
 TEST_CASE("a node that isn't shown the ledger reads it before it steps in") {
   WeightWorld world(2, 60);
-  world.nodes[1]->place = MoverPlace{false, 1};
+  world.nodes[1]->place = TakeoverPosition{false, 1};
   world.engines.loadTime = std::chrono::milliseconds(1500);  // Late from the start, but not silent.
   world.name(2);
   world.run(std::chrono::seconds(12));
@@ -310,8 +310,8 @@
   world.name(3);
   SUBCASE("also where its holder ends then") {
     for (const auto& node : world.nodes) {
-      if (node->mover.holdsTurn()) {
-        node->mover.handOver();
+      if (node->mover.isLeader()) {
+        node->mover.handOverLeadership();
         node->isAlive = false;
       }
     }
--- a/test/weights/weight_world.h
+++ b/test/weights/weight_world.h
@@ -168,7 +168,7 @@
   LedgerView view;
   WeightMover mover;
   bool isAlive = true;
-  MoverPlace place;
+  TakeoverPosition place;
 };
 
 /// Several nodes before the same engines, stepped together on virtual time.
