--- a/src/backends/wanted_weights.cpp
+++ b/src/backends/wanted_weights.cpp
@@ -86,7 +86,7 @@
   noteLocked(model, NamedVersion{version, notBefore, dueAtOf(notBefore)}, true, now);
 }
 
-void WantedWeights::noteStoreAway(Time at) {
+void WantedWeights::noteStoreUnavailable(Time at) {
   const std::lock_guard<std::mutex> lock(mutex_);
   storeUnavailableAt_ = storeUnavailableAt_ ? std::max(*storeUnavailableAt_, at) : at;
   for (auto& model : named_) {
@@ -150,13 +150,13 @@
   return dueVersion(model, now + kBeginMargin);
 }
 
-std::vector<YoungVersion> WantedWeights::youngVersions(Time now) const {
+std::vector<RecentVersion> WantedWeights::recentVersions(Time now) const {
   const std::lock_guard<std::mutex> lock(mutex_);
-  std::vector<YoungVersion> young;
+  std::vector<RecentVersion> young;
   for (const auto& [model, versions] : named_) {
     for (const NamedVersion& named : versions) {
       if (named.notBefore && now - *named.notBefore < bounds_.inForce * kAnnouncedBounds) {
-        young.push_back(YoungVersion{model, named.version, now - *named.notBefore});
+        young.push_back(RecentVersion{model, named.version, now - *named.notBefore});
       }
     }
   }
--- a/src/backends/wanted_weights.h
+++ b/src/backends/wanted_weights.h
@@ -27,7 +27,7 @@
 };
 
 /// A version whose bound may not have ended on all nodes, as announced to other nodes.
-struct YoungVersion {
+struct RecentVersion {
   std::string model;
   uint64_t version = 0;
   Duration age{};  ///< Time since it was last known not to be named yet.
@@ -52,7 +52,7 @@
   void learnSince(const std::string& model, uint64_t version, Time notBefore, Time now);
   /// Records that the operators' store was unavailable at `at`. Engines can't be moved without the
   /// store, so bounds that had not ended by then are restarted at `at`.
-  void noteStoreAway(Time at);
+  void noteStoreUnavailable(Time at);
 
   /// @return the newest version; 0 if none was named.
   uint64_t newest(const std::string& model) const;
@@ -69,7 +69,7 @@
   ///         time until they begin.
   uint64_t lowestServing(const std::string& model, Time now) const;
   /// @return recently named versions, for nodes that joined later.
-  std::vector<YoungVersion> youngVersions(Time now) const;
+  std::vector<RecentVersion> recentVersions(Time now) const;
 
  private:
   /// Records the version if it is unknown, or if another node reported it (`isFromPeer`) with a
--- a/src/gateway/request_run.cpp
+++ b/src/gateway/request_run.cpp
@@ -184,7 +184,7 @@
   fields.attempts = trail_.text();
   fields.fingerprint = fingerprint_;
   fields.leftOut = *leftOut;
-  fields.tableAge = now - services_.table.view().provenAt;
+  fields.tableAge = now - services_.table.view().confirmedAt;
   if (firstEventAt_) {
     fields.firstEvent = *firstEventAt_ - request_.arrivedAt;
     fields.longestPause = longestPause_;
--- a/src/gateway/table_in_force.h
+++ b/src/gateway/table_in_force.h
@@ -19,10 +19,12 @@
 /// A snapshot of the table and the time of its last confirmed read.
 struct TableView {
   TrafficTablePtr table;  ///< Null until the first table arrives.
-  Time provenAt;          ///< Start of the last confirmed read; meaningless without a table.
+  Time confirmedAt;       ///< Start of the last confirmed read; meaningless without a table.
 
   /// @return whether everything acknowledged at least `age` before `now` is in force.
-  bool isFresh(Time now, Duration age) const { return table != nullptr && now - provenAt <= age; }
+  bool isFresh(Time now, Duration age) const {
+    return table != nullptr && now - confirmedAt <= age;
+  }
 };
 
 /// Thread-safe.
--- a/src/peers/mirror_role.cpp
+++ b/src/peers/mirror_role.cpp
@@ -223,7 +223,7 @@
     answer.set_former_revision_age_microseconds(static_cast<uint64_t>((now - before.at).count()));
     answer.set_era_age_microseconds(static_cast<uint64_t>((now - change->seenAt).count()));
   }
-  for (const YoungVersion& young : wanted_.youngVersions(now)) {
+  for (const RecentVersion& young : wanted_.recentVersions(now)) {
     proto::MirrorNamedVersion& out = *answer.add_named();
     out.set_model(young.model);
     out.set_version(young.version);
--- a/test/backends/wanted_weights_test.cpp
+++ b/test/backends/wanted_weights_test.cpp
@@ -44,7 +44,7 @@
   CHECK(wanted.boundEnd("m", 1) == at(9000));
   CHECK(wanted.boundEnd("m", 2) == at(12000));
   CHECK_FALSE(wanted.boundEnd("m", 3).has_value());
-  wanted.noteStoreAway(at(5000));
+  wanted.noteStoreUnavailable(at(5000));
   CHECK(wanted.boundEnd("m", 1) == at(13000));
 }
 
@@ -89,21 +89,21 @@
   older.note("m", 4, at(4000), at(4000));
   WantedWeights restarted(WeightBounds{std::chrono::seconds(8), at(8000)});
   restarted.note("m", 4, std::nullopt, at(5000));
-  for (const YoungVersion& young : older.youngVersions(at(5000))) {
+  for (const RecentVersion& young : older.recentVersions(at(5000))) {
     restarted.learnSince(young.model, young.version, at(5000) - young.age, at(5000));
   }
   CHECK(restarted.deadlineFor("m", 2) == at(9000));
   CHECK(restarted.deadlineFor("m", 3) == at(12000));
   CHECK(restarted.dueVersion("m", at(8999)) == 0);
   CHECK(restarted.dueVersion("m", at(9000)) == 3);
-  CHECK(older.youngVersions(at(60000)).empty());
+  CHECK(older.recentVersions(at(60000)).empty());
 }
 
 TEST_CASE("a bound counts from when the store was away last, if it had not passed by then") {
   WantedWeights wanted(bounds());
   wanted.note("m", 2, at(1000), at(1000));
   wanted.note("m", 3, at(4000), at(4000));
-  wanted.noteStoreAway(at(10000));
+  wanted.noteStoreUnavailable(at(10000));
   CHECK(wanted.dueVersion("m", at(9000)) == 2);
   CHECK(wanted.dueVersion("m", at(17999)) == 2);
   CHECK(wanted.dueVersion("m", at(18000)) == 3);
@@ -117,7 +117,7 @@
   }
   SUBCASE("a node that found a version after the outage counts from it") {
     WantedWeights restarted(bounds());
-    restarted.noteStoreAway(at(2500));
+    restarted.noteStoreUnavailable(at(2500));
     restarted.note("m", 2, std::nullopt, at(2600));
     CHECK(restarted.dueVersion("m", at(10499)) == 0);
     CHECK(restarted.dueVersion("m", at(10500)) == 2);
--- a/test/gateway/begin_deadline_test.cpp
+++ b/test/gateway/begin_deadline_test.cpp
@@ -48,7 +48,7 @@
     CHECK_FALSE(deadline.takeBackAt().has_value());
   }
   SUBCASE("an outage of the store puts it off, a version that is named brings it on") {
-    world.wanted.noteStoreAway(at(6000));
+    world.wanted.noteStoreUnavailable(at(6000));
     CHECK_FALSE(deadline.isOver(at(13000)));
     CHECK(deadline.isOver(at(14000)));
     deadline.start("m", 3, true);
--- a/test/gateway/table_in_force_test.cpp
+++ b/test/gateway/table_in_force_test.cpp
@@ -26,7 +26,7 @@
   CHECK(inForce.take(version(7), at(100)));
   CHECK_FALSE(inForce.take(version(5), at(900)));
   CHECK(inForce.view().table->version == 7);
-  CHECK(inForce.view().provenAt == at(100));
+  CHECK(inForce.view().confirmedAt == at(100));
 }
 
 TEST_CASE("a table is as fresh as the start of the newest question that it answered") {
@@ -34,9 +34,9 @@
   inForce.take(version(7), at(100));
   inForce.confirm(7, at(400));
   inForce.confirm(7, at(300));
-  CHECK(inForce.view().provenAt == at(400));
+  CHECK(inForce.view().confirmedAt == at(400));
   inForce.confirm(6, at(9000));
-  CHECK(inForce.view().provenAt == at(400));
+  CHECK(inForce.view().confirmedAt == at(400));
   CHECK(inForce.view().isFresh(at(1400), std::chrono::seconds(1)));
   CHECK_FALSE(inForce.view().isFresh(at(1401), std::chrono::seconds(1)));
 }
@@ -46,7 +46,7 @@
   inForce.take(version(7), at(500));
   inForce.take(version(8), at(450));
   CHECK(inForce.view().table->version == 8);
-  CHECK(inForce.view().provenAt == at(500));
+  CHECK(inForce.view().confirmedAt == at(500));
 }
 
 }  // namespace fernmoor::gateway
--- a/test/platform/mirror_decoder_test.cpp
+++ b/test/platform/mirror_decoder_test.cpp
@@ -62,12 +62,12 @@
     world.decoder.take(MirrorKind::kWeights, {MirrorEntry{"m", revision, false, text}}, false);
   };
   take(12, 1);  // It lay there before anything was known of the store.
-  CHECK(world.wanted.youngVersions(now).empty());
+  CHECK(world.wanted.recentVersions(now).empty());
   take(25, 2);
   take(31, 3);
-  REQUIRE(world.wanted.youngVersions(now).size() == 2);
-  CHECK(world.wanted.youngVersions(now)[0].age == std::chrono::seconds(3));
-  CHECK(world.wanted.youngVersions(now)[1].age == std::chrono::seconds(1));
+  REQUIRE(world.wanted.recentVersions(now).size() == 2);
+  CHECK(world.wanted.recentVersions(now)[0].age == std::chrono::seconds(3));
+  CHECK(world.wanted.recentVersions(now)[1].age == std::chrono::seconds(1));
 }
 
 TEST_CASE("quarantined requests are known from the store, and lifted when their object is gone") {
