--- a/test/backends/backend_set_test.cpp
+++ b/test/backends/backend_set_test.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// Tests of src/backends/backend_set.h and wanted_weights.h.
+/// Tests of src/backends/backend_set.h and growing_pause.h.
 #include "backends/backend_set.h"
 
 #include <doctest/doctest.h>
@@ -167,7 +167,7 @@
     set.forgetOld(at(320000));
     CHECK(set.withdrawal(engine, at(320000)).has_value());
     CHECK(set.withdrawn(at(50000)).size() == 1);
-    CHECK(set.withdrawn(at(51000)).empty());  // Others were told often enough.
+    CHECK(set.withdrawn(at(51000)).empty());  // It is no longer announced.
     set.forgetOld(at(700000));
     CHECK_FALSE(set.withdrawal(engine, at(700000)).has_value());
   }
--- a/test/backends/revision_times_test.cpp
+++ b/test/backends/revision_times_test.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// Tests of src/backends/revision_times.h: what is written late is never dated after it was
+/// Tests of src/backends/revision_times.h: an object is never dated after the time at which it was
 /// written.
 #include "backends/revision_times.h"
 
@@ -24,7 +24,7 @@
   times.note({10, at(0)});
   times.note({10, at(600)});
   times.note({14, at(1200)});
-  CHECK_FALSE(times.notBefore(10).has_value());  // It was there before anything is known.
+  CHECK_FALSE(times.notBefore(10).has_value());  // It existed before the first entry.
   CHECK(times.notBefore(11) == at(600));
   CHECK(times.notBefore(14) == at(600));
   CHECK(times.notBefore(15) == at(1200));
--- a/test/backends/wanted_weights_test.cpp
+++ b/test/backends/wanted_weights_test.cpp
@@ -1,6 +1,6 @@
 /// @file
-/// Tests of src/backends/wanted_weights.h: the bound of a version holds whatever a node knows of
-/// it, and counts the time in which engines could be moved.
+/// Tests of src/backends/wanted_weights.h: the bound of a version holds on every node, whatever it
+/// knows about the version, and is extended by outages in which engines can't be moved.
 #include "backends/wanted_weights.h"
 
 #include <doctest/doctest.h>
@@ -13,7 +13,7 @@
   return Time(std::chrono::seconds(1000)) + std::chrono::milliseconds(milliseconds);
 }
 
-/// Of a node that was started at 0.
+/// Bounds of a node that was started at 0.
 WeightBounds bounds() {
   return WeightBounds{std::chrono::seconds(8), at(3000)};
 }
--- a/test/backends/watch_pace_test.cpp
+++ b/test/backends/watch_pace_test.cpp
@@ -1,5 +1,6 @@
 /// @file
-/// Tests of src/backends/watch_pace.h: calls do not grow with the changes.
+/// Tests of src/backends/watch_pace.h: the number of calls does not grow with the number of
+/// changes.
 #include "backends/watch_pace.h"
 
 #include <doctest/doctest.h>
@@ -10,7 +11,7 @@
 
 constexpr Time kStart{std::chrono::seconds(50)};
 
-/// @return how often a watch asks in ten seconds where something changes in such steps.
+/// @return the number of calls of a watch in 10 s if a change happens every `changeEvery`.
 int asksInTenSeconds(Duration changeEvery) {
   WatchPace pace;
   Time now = kStart;
--- a/test/gateway/engine_permits_test.cpp
+++ b/test/gateway/engine_permits_test.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// Tests of src/gateway/engine_permits.h: questions at given instants.
+/// Tests of src/gateway/engine_permits.h with permits requested at given times.
 #include "gateway/engine_permits.h"
 
 #include <doctest/doctest.h>
@@ -19,7 +19,7 @@
   return kStart + std::chrono::milliseconds(milliseconds);
 }
 
-/// Asks each `step` ms for `length` ms. @return when requests may be sent.
+/// Requests a permit every `step` ms for `length` ms. @return when requests may be sent.
 std::vector<Time> permitsOf(EnginePermits& permits, double rate, int from, int length, int step,
                             Duration longestWait = Duration(0)) {
   std::vector<Time> sends;
--- a/test/gateway/load_shedding_test.cpp
+++ b/test/gateway/load_shedding_test.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// Tests of src/gateway/load_shedding.h: pure state with given figures.
+/// Tests of src/gateway/load_shedding.h with given memory sizes.
 #include "gateway/load_shedding.h"
 
 #include <doctest/doctest.h>
--- a/test/gateway/pending_work_test.cpp
+++ b/test/gateway/pending_work_test.cpp
@@ -1,6 +1,5 @@
 /// @file
-/// Tests of src/gateway/pending_work.h: what stands before a request at an engine, and what is
-/// forgotten.
+/// Tests of src/gateway/pending_work.h: the queue ahead of a request at an engine, and expiry.
 #include "gateway/pending_work.h"
 
 #include <doctest/doctest.h>
--- a/test/gateway/stated_limits_test.cpp
+++ b/test/gateway/stated_limits_test.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// Tests of src/gateway/stated_limits.h: statements at given instants.
+/// Tests of src/gateway/stated_limits.h with statements at given times.
 #include "gateway/stated_limits.h"
 
 #include <doctest/doctest.h>
--- a/test/gateway/work_state_test.cpp
+++ b/test/gateway/work_state_test.cpp
@@ -47,7 +47,7 @@
   budget.setAllowance(0);
   CHECK_FALSE(budget.trySecondSend("c", at(1000)));
   budget.setAllowance(1);
-  // Once the requests have left the window only the allowance is left.
+  // After the requests have left the window, only the fixed allowance remains.
   CHECK(budget.trySecondSend("a", at(20000)));
   CHECK_FALSE(budget.trySecondSend("a", at(20000)));
 }
--- a/test/weights/move_hints_test.cpp
+++ b/test/weights/move_hints_test.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// Tests of src/weights/move_hints.h: each move is passed on once, while it is young.
+/// Tests of src/weights/move_hints.h: each move is forwarded once, while it is recent.
 #include "weights/move_hints.h"
 
 #include <doctest/doctest.h>
--- a/test/weights/weight_mover_test.cpp
+++ b/test/weights/weight_mover_test.cpp
@@ -1,6 +1,6 @@
 /// @file
-/// Tests of src/weights on virtual time: engines are moved in time, by one holder at a time, also
-/// when the holder dies in the middle, the store fails or orders get no answer.
+/// Tests of src/weights on virtual time: engines are moved in time and by one leader at a time,
+/// also if the leader dies during the moves, the store fails or orders are not answered.
 #include "weights/weight_mover.h"
 
 #include <doctest/doctest.h>
@@ -16,8 +16,8 @@
 using test::SeenOrder;
 using test::WeightWorld;
 
-/// The rule of the users: fences never fall at an engine, and orders of two holders to one engine
-/// are further apart than their turn.
+/// Checks that fencing tokens never decrease at an engine, and that orders of two leaders to one
+/// engine are at least `turn` apart.
 void checkOrders(const std::vector<SeenOrder>& seen, Duration turn) {
   for (size_t later = 0; later < seen.size(); ++later) {
     for (size_t earlier = 0; earlier < later; ++earlier) {
@@ -153,7 +153,7 @@
 TEST_CASE("a node that isn't shown the ledger reads it before it steps in") {
   WeightWorld world(2, 60);
   world.nodes[1]->place = TakeoverPosition{false, 1};
-  world.engines.loadTime = std::chrono::milliseconds(1500);  // Late from the start, but not silent.
+  world.engines.loadTime = std::chrono::milliseconds(1500);  // Always late, but answering.
   world.name(2);
   world.run(std::chrono::seconds(12));
   CHECK(world.enginesAt(2) == 60);
@@ -189,7 +189,7 @@
     if (isOvertaken || world.clock.now() - Time(std::chrono::seconds(1000)) < kTurn) {
       return;
     }
-    isOvertaken = true;  // The reports of the other node are quick.
+    isOvertaken = true;  // The other node gets its reports quickly.
     second.mover.step();
     first.view.take(world.store.ledger, world.clock.now());
   };
@@ -215,7 +215,7 @@
 TEST_CASE("a successor waits until no order of its predecessor can arrive any more") {
   WeightWorld world(2, 2);
   world.engines.heldUpHolder = "n0";
-  world.engines.holdUp = std::chrono::milliseconds(850);  // All that an order may take.
+  world.engines.holdUp = std::chrono::milliseconds(850);  // Longest delivery time of an order.
   world.name(2);
   world.nodes[1]->isAlive = false;
   while (world.engines.seen.empty()) {
--- a/test/weights/weight_world.h
+++ b/test/weights/weight_world.h
@@ -1,5 +1,5 @@
 /// @file
-/// A store, engines and a clock under the test's control, for tests of the moves to new weights.
+/// A simulated store, engines and clock for tests of the moves to new weights.
 #pragma once
 
 #include <functional>
@@ -27,7 +27,7 @@
   Time now_{std::chrono::seconds(1000)};
 };
 
-/// The ledger's store with the faults of a real one.
+/// A ledger store with injectable faults: unavailability, lost answers, restore from an old copy.
 class TestStore : public LedgerStore {
  public:
   Result<Ledger> read() override {
@@ -56,7 +56,7 @@
   std::optional<Time> wentBackBy(const Ledger& asked) const override {
     return asked.writtenIn == eraOf(revision) ? std::nullopt : wentBackAt;
   }
-  /// Comes back from a copy, whose ledger is that one.
+  /// Simulates a restore from an old copy that contains the given ledger.
   void goBack(const Ledger& copy, Time at) {
     const uint64_t era = eraOf(revision) + 1;
     ledger = copy;
@@ -78,7 +78,7 @@
   }
 };
 
-/// One order that reached an engine.
+/// An order that reached an engine.
 struct SeenOrder {
   std::string engine;
   std::string holder;
@@ -87,7 +87,7 @@
   Time at;
 };
 
-/// Engines that take new weights in a fixed time.
+/// Engines that load new weights in a fixed time.
 class TestEngines : public EngineOrders {
  public:
   struct Engine {
@@ -138,8 +138,8 @@
   std::vector<SeenOrder> seen;
   Duration loadTime{630000};
   bool answersLost = false;
-  std::function<void()> onReport;  ///< What happens while a report is on its way.
-  std::string heldUpHolder;        ///< Its orders reach engines late and are not carried out.
+  std::function<void()> onReport;  ///< Called while a report is in transit.
+  std::string heldUpHolder;        ///< Its orders reach engines late and are not executed.
   Duration holdUp{};
 
  private:
@@ -155,7 +155,7 @@
   const TestClock& clock_;
 };
 
-/// One node's mover with what it knows.
+/// One node's mover and its state.
 struct TestNode {
   TestNode(const std::string& name, const TestClock& clock, TestStore& store, TestEngines& engines,
            uint64_t seed)
@@ -171,7 +171,7 @@
   TakeoverPosition place;
 };
 
-/// Several nodes before the same engines, stepped together on virtual time.
+/// Several nodes that share the same engines, stepped together on virtual time.
 class WeightWorld {
  public:
   WeightWorld(size_t nodeCount, size_t engineCount) : engines(clock) {
@@ -190,7 +190,7 @@
       node->wanted.note("m", version, clock.now(), clock.now());
     }
   }
-  /// Lets time pass; each living node learns of the ledger as its watch would tell it.
+  /// Advances the time; each live node sees ledger changes as through its watch.
   void run(Duration length) {
     const Time end = clock.now() + length;
     while (clock.now() < end) {
@@ -208,7 +208,7 @@
       clock.advance(std::chrono::milliseconds(20));
     }
   }
-  /// The engine starts again under its id, with the weights that it had at first, and lists itself.
+  /// Restarts the engine under its id with its initial weights; it lists itself again.
   void startAgain(const std::string& name, int64_t startedAt) {
     engines.engines[name] = {};
     engines.engines[name].startedAt = startedAt;
@@ -241,7 +241,7 @@
   std::vector<std::unique_ptr<TestNode>> nodes;
 
  private:
-  /// Engines list their weights as soon as they hold them.
+  /// Engines list their weights as soon as they have loaded them.
   void learnVersions(TestNode& node) {
     for (const auto& entry : engines.engines) {
       if (engines.silent.count(entry.first) == 0) {
