--- a/src/backends/growing_pause.h
+++ b/src/backends/growing_pause.h
@@ -12,9 +12,9 @@
 namespace fernmoor {
 
 /// Not thread-safe.
-class GrowingPause {
+class Backoff {
  public:
-  GrowingPause(Duration first, Duration longest, uint64_t seed)
+  Backoff(Duration first, Duration longest, uint64_t seed)
       : first_(first), longest_(longest), next_(first), random_(seed) {}
 
   /// @return the time to wait before the next attempt.
--- a/src/backends/watch_pace.h
+++ b/src/backends/watch_pace.h
@@ -15,7 +15,7 @@
 inline constexpr Duration kWatchInterval{150000};
 
 /// Not thread-safe.
-class WatchPace {
+class WatchRateLimiter {
  public:
   /// @return the time to wait after an answer before the watch asks again.
   Duration afterAnswer(Time now) {
--- a/test/backends/backend_set_test.cpp
+++ b/test/backends/backend_set_test.cpp
@@ -119,7 +119,7 @@
 }
 
 TEST_CASE("pauses grow to their bound, are spread, and begin anew after a success") {
-  GrowingPause pause(std::chrono::milliseconds(100), std::chrono::milliseconds(400), 1);
+  Backoff pause(std::chrono::milliseconds(100), std::chrono::milliseconds(400), 1);
   for (const int64_t longest : {100, 200, 400, 400}) {
     const Duration drawn = pause.afterFailure();
     CHECK(drawn >= std::chrono::milliseconds(longest / 2));
--- a/test/backends/watch_pace_test.cpp
+++ b/test/backends/watch_pace_test.cpp
@@ -13,7 +13,7 @@
 
 /// @return the number of calls of a watch in 10 s if a change happens every `changeEvery`.
 int asksInTenSeconds(Duration changeEvery) {
-  WatchPace pace;
+  WatchRateLimiter pace;
   Time now = kStart;
   int asks = 0;
   while (now < kStart + std::chrono::seconds(10)) {
@@ -33,7 +33,7 @@
 }
 
 TEST_CASE("a change after a quiet time is not held up") {
-  WatchPace pace;
+  WatchRateLimiter pace;
   CHECK(pace.afterAnswer(kStart) == Duration(0));
   CHECK(pace.afterAnswer(kStart + kWatchInterval) == Duration(0));
   CHECK(pace.afterAnswer(kStart + std::chrono::seconds(5)) == Duration(0));
@@ -41,7 +41,7 @@
 }
 
 TEST_CASE("the second of two changes at once waits for less than the interval") {
-  WatchPace pace;
+  WatchRateLimiter pace;
   pace.afterAnswer(kStart);
   const Duration pause = pace.afterAnswer(kStart + std::chrono::milliseconds(10));
   CHECK(pause == kWatchInterval - std::chrono::milliseconds(10));
