--- a/src/backends/wanted_weights.cpp
+++ b/src/backends/wanted_weights.cpp
@@ -38,11 +38,11 @@
 
 }  // namespace
 
-Time WantedWeights::unextendedDueAt(std::optional<Time> notBefore) const {
+Time DesiredWeights::unextendedDueAt(std::optional<Time> notBefore) const {
   return notBefore ? *notBefore + bounds_.inForce : bounds_.heldFrom;
 }
 
-Time WantedWeights::dueAtOf(std::optional<Time> notBefore) const {
+Time DesiredWeights::dueAtOf(std::optional<Time> notBefore) const {
   const Time due = unextendedDueAt(notBefore);
   const bool isExtended =
       storeUnavailableAt_ &&
@@ -50,8 +50,8 @@
   return isExtended ? std::max(due, *storeUnavailableAt_ + bounds_.inForce) : due;
 }
 
-void WantedWeights::noteLocked(const std::string& model, const NamedVersion& named, bool isFromPeer,
-                               Time now) {
+void DesiredWeights::noteLocked(const std::string& model, const NamedVersion& named,
+                                bool isFromPeer, Time now) {
   std::vector<NamedVersion>& versions = named_[model];
   const auto place = std::find_if(versions.begin(), versions.end(), [&](const NamedVersion& each) {
     return each.version >= named.version;
@@ -74,19 +74,19 @@
   logNamed(model, named, isFromPeer, now);
 }
 
-void WantedWeights::note(const std::string& model, uint64_t version, std::optional<Time> notBefore,
-                         Time now) {
+void DesiredWeights::note(const std::string& model, uint64_t version, std::optional<Time> notBefore,
+                          Time now) {
   const std::lock_guard<std::mutex> lock(mutex_);
   noteLocked(model, NamedVersion{version, notBefore, dueAtOf(notBefore)}, false, now);
 }
 
-void WantedWeights::learnSince(const std::string& model, uint64_t version, Time notBefore,
-                               Time now) {
+void DesiredWeights::learnSince(const std::string& model, uint64_t version, Time notBefore,
+                                Time now) {
   const std::lock_guard<std::mutex> lock(mutex_);
   noteLocked(model, NamedVersion{version, notBefore, dueAtOf(notBefore)}, true, now);
 }
 
-void WantedWeights::noteStoreUnavailable(Time at) {
+void DesiredWeights::noteStoreUnavailable(Time at) {
   const std::lock_guard<std::mutex> lock(mutex_);
   storeUnavailableAt_ = storeUnavailableAt_ ? std::max(*storeUnavailableAt_, at) : at;
   for (auto& model : named_) {
@@ -99,13 +99,13 @@
   }
 }
 
-uint64_t WantedWeights::newest(const std::string& model) const {
+uint64_t DesiredWeights::newest(const std::string& model) const {
   const std::lock_guard<std::mutex> lock(mutex_);
   const auto found = named_.find(model);
   return found == named_.end() ? 0 : found->second.back().version;
 }
 
-std::optional<Time> WantedWeights::deadlineFor(const std::string& model, uint64_t held) const {
+std::optional<Time> DesiredWeights::deadlineFor(const std::string& model, uint64_t held) const {
   const std::lock_guard<std::mutex> lock(mutex_);
   const auto found = named_.find(model);
   if (found == named_.end()) {
@@ -120,7 +120,7 @@
   return std::nullopt;
 }
 
-std::optional<Time> WantedWeights::boundEnd(const std::string& model, uint64_t held) const {
+std::optional<Time> DesiredWeights::boundEnd(const std::string& model, uint64_t held) const {
   const std::lock_guard<std::mutex> lock(mutex_);
   const auto found = named_.find(model);
   std::optional<Time> end;
@@ -134,7 +134,7 @@
   return end;
 }
 
-uint64_t WantedWeights::dueVersion(const std::string& model, Time now) const {
+uint64_t DesiredWeights::dueVersion(const std::string& model, Time now) const {
   const std::lock_guard<std::mutex> lock(mutex_);
   const auto found = named_.find(model);
   uint64_t due = 0;
@@ -146,11 +146,11 @@
   return due;
 }
 
-uint64_t WantedWeights::lowestServing(const std::string& model, Time now) const {
+uint64_t DesiredWeights::lowestServing(const std::string& model, Time now) const {
   return dueVersion(model, now + kBeginMargin);
 }
 
-std::vector<RecentVersion> WantedWeights::recentVersions(Time now) const {
+std::vector<RecentVersion> DesiredWeights::recentVersions(Time now) const {
   const std::lock_guard<std::mutex> lock(mutex_);
   std::vector<RecentVersion> young;
   for (const auto& [model, versions] : named_) {
--- a/src/backends/wanted_weights.h
+++ b/src/backends/wanted_weights.h
@@ -39,9 +39,9 @@
 };
 
 /// Thread-safe.
-class WantedWeights {
+class DesiredWeights {
  public:
-  explicit WantedWeights(WeightBounds bounds) : bounds_(bounds) {}
+  explicit DesiredWeights(WeightBounds bounds) : bounds_(bounds) {}
 
   /// Records a version that this node found. Has no effect on a known version, which was named
   /// earlier.
--- a/src/gateway/begin_deadline.cpp
+++ b/src/gateway/begin_deadline.cpp
@@ -19,7 +19,7 @@
 
 }  // namespace
 
-BeginDeadline::BeginDeadline(const WantedWeights& wanted, const std::string& requestId)
+BeginDeadline::BeginDeadline(const DesiredWeights& wanted, const std::string& requestId)
     : wanted_(wanted), spread_(spreadOf(requestId)) {}
 
 void BeginDeadline::start(const std::string& model, uint64_t weights, bool showsBegin) {
--- a/src/gateway/begin_deadline.h
+++ b/src/gateway/begin_deadline.h
@@ -27,7 +27,7 @@
   /// @param wanted outlives the deadline.
   /// @param requestId by which requests that wait together are spread, so that they are not all
   ///        sent elsewhere at one instant.
-  BeginDeadline(const WantedWeights& wanted, const std::string& requestId);
+  BeginDeadline(const DesiredWeights& wanted, const std::string& requestId);
 
   /// The request is sent to a back end that holds those weights.
   /// @param showsBegin its answer tells when it begins; what does not is not taken back, as it may
@@ -44,7 +44,7 @@
   bool isOver(Time now) const;
 
  private:
-  const WantedWeights& wanted_;
+  const DesiredWeights& wanted_;
   const Duration spread_;
   std::string model_;
   uint64_t weights_ = 0;
--- a/src/gateway/forwarder.h
+++ b/src/gateway/forwarder.h
@@ -38,7 +38,7 @@
   ConnectionPool& connections;
   SecondSendBudget& budget;
   const BackendProtocol& protocol;
-  const WantedWeights& wanted;
+  const DesiredWeights& wanted;
   PartHints& parts;
   EngineLoads& loads;
   TenantLimits& limits;
--- a/src/gateway/send_planner.h
+++ b/src/gateway/send_planner.h
@@ -25,7 +25,7 @@
 struct PlannerServices {
   const Clock& clock;
   const BackendSet& backends;
-  const WantedWeights& wanted;
+  const DesiredWeights& wanted;
   PartHints& parts;
   EngineLoads& loads;
 };
--- a/src/peers/mirror_role.h
+++ b/src/peers/mirror_role.h
@@ -62,7 +62,7 @@
  public:
   /// @param mirror, wanted, revisionTimes outlive the role.
   /// @param startedAt when this node was started.
-  MirrorRole(NodeId self, StateMirror& mirror, WantedWeights& wanted, RevisionTimes& revisionTimes,
+  MirrorRole(NodeId self, StateMirror& mirror, DesiredWeights& wanted, RevisionTimes& revisionTimes,
              Time startedAt)
       : self_(self),
         mirror_(mirror),
@@ -131,7 +131,7 @@
   const NodeId self_;
   StateMirror& mirror_;
   MirrorContent content_;
-  WantedWeights& wanted_;
+  DesiredWeights& wanted_;
   RevisionTimes& revisionTimes_;
   const Time startedAt_;
   mutable std::mutex mutex_;
--- a/src/peers/peer_plane.cpp
+++ b/src/peers/peer_plane.cpp
@@ -30,7 +30,7 @@
 }
 
 PeerPlane::PeerPlane(PeerOptions options, const Clock& clock, StateMirror& mirror,
-                     WantedWeights& wanted, RevisionTimes& revisionTimes,
+                     DesiredWeights& wanted, RevisionTimes& revisionTimes,
                      quarantine::QuarantineTable& quarantined, BackendSet& backends)
     : options_(std::move(options)),
       clock_(clock),
--- a/src/peers/peer_plane.h
+++ b/src/peers/peer_plane.h
@@ -42,7 +42,7 @@
 class PeerPlane : public MessageSender {
  public:
   /// Binds the address. Throws Poco::Net::NetException where it is in use.
-  PeerPlane(PeerOptions options, const Clock& clock, StateMirror& mirror, WantedWeights& wanted,
+  PeerPlane(PeerOptions options, const Clock& clock, StateMirror& mirror, DesiredWeights& wanted,
             RevisionTimes& revisionTimes, quarantine::QuarantineTable& quarantined,
             BackendSet& backends);
   ~PeerPlane() override;
--- a/src/weights/weight_mover.h
+++ b/src/weights/weight_mover.h
@@ -30,7 +30,7 @@
 struct MoverServices {
   const Clock& clock;
   BackendSet& engines;
-  WantedWeights& wanted;
+  DesiredWeights& wanted;
   LedgerView& view;
   LedgerStore& store;
   EngineOrders& orders;
--- a/src/weights/weight_plan.cpp
+++ b/src/weights/weight_plan.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-void addRequiredMoves(const BackendListing& engine, const WantedWeights& wanted,
+void addRequiredMoves(const BackendListing& engine, const DesiredWeights& wanted,
                       std::vector<PlannedMove>& moves) {
   for (const HeldWeights& held : engine.weights) {
     const std::optional<Time> deadline = wanted.deadlineFor(held.model, held.version);
@@ -18,7 +18,7 @@
 
 }  // namespace
 
-WeightPlan planMoves(const std::vector<BackendListing>& engines, const WantedWeights& wanted,
+WeightPlan planMoves(const std::vector<BackendListing>& engines, const DesiredWeights& wanted,
                      const PlanBounds& bounds) {
   WeightPlan plan;
   for (const BackendListing& engine : engines) {
--- a/src/weights/weight_plan.h
+++ b/src/weights/weight_plan.h
@@ -36,7 +36,7 @@
   std::optional<Time> startBy;
 };
 
-WeightPlan planMoves(const std::vector<BackendListing>& engines, const WantedWeights& wanted,
+WeightPlan planMoves(const std::vector<BackendListing>& engines, const DesiredWeights& wanted,
                      const PlanBounds& bounds);
 
 }  // namespace fernmoor::weights
--- a/test/backends/wanted_weights_test.cpp
+++ b/test/backends/wanted_weights_test.cpp
@@ -21,7 +21,7 @@
 }  // namespace
 
 TEST_CASE("an engine must leave a version when the first newer one has its time behind it") {
-  WantedWeights wanted(WeightBounds{});
+  DesiredWeights wanted(WeightBounds{});
   CHECK_FALSE(wanted.deadlineFor("m", 1).has_value());
   wanted.note("m", 2, at(1000), at(1000));
   wanted.note("m", 3, at(4000), at(4000));
@@ -37,7 +37,7 @@
 }
 
 TEST_CASE("on weights that an engine holds requests may begin until the first newer bound ends") {
-  WantedWeights wanted(bounds());
+  DesiredWeights wanted(bounds());
   CHECK_FALSE(wanted.boundEnd("m", 1).has_value());
   wanted.note("m", 2, at(1000), at(1000));
   wanted.note("m", 3, at(4000), at(4000));
@@ -49,7 +49,7 @@
 }
 
 TEST_CASE("of a version named nobody knows when the bound ends when the node is held to it") {
-  WantedWeights wanted(bounds());
+  DesiredWeights wanted(bounds());
   wanted.note("m", 2, std::nullopt, at(50));
   CHECK(*wanted.deadlineFor("m", 1) == at(3000));
   CHECK(wanted.dueVersion("m", at(2999)) == 0);
@@ -83,11 +83,11 @@
 }
 
 TEST_CASE("a node that was not there learns of all versions whose bounds matter still") {
-  WantedWeights older(bounds());
+  DesiredWeights older(bounds());
   older.note("m", 2, std::nullopt, at(0));
   older.note("m", 3, at(1000), at(1000));
   older.note("m", 4, at(4000), at(4000));
-  WantedWeights restarted(WeightBounds{std::chrono::seconds(8), at(8000)});
+  DesiredWeights restarted(WeightBounds{std::chrono::seconds(8), at(8000)});
   restarted.note("m", 4, std::nullopt, at(5000));
   for (const RecentVersion& young : older.recentVersions(at(5000))) {
     restarted.learnSince(young.model, young.version, at(5000) - young.age, at(5000));
@@ -100,7 +100,7 @@
 }
 
 TEST_CASE("a bound counts from when the store was away last, if it had not passed by then") {
-  WantedWeights wanted(bounds());
+  DesiredWeights wanted(bounds());
   wanted.note("m", 2, at(1000), at(1000));
   wanted.note("m", 3, at(4000), at(4000));
   wanted.noteStoreUnavailable(at(10000));
@@ -116,7 +116,7 @@
     CHECK(wanted.dueVersion("m", at(18500)) == 4);
   }
   SUBCASE("a node that found a version after the outage counts from it") {
-    WantedWeights restarted(bounds());
+    DesiredWeights restarted(bounds());
     restarted.noteStoreUnavailable(at(2500));
     restarted.note("m", 2, std::nullopt, at(2600));
     CHECK(restarted.dueVersion("m", at(10499)) == 0);
--- a/test/gateway/begin_deadline_test.cpp
+++ b/test/gateway/begin_deadline_test.cpp
@@ -25,7 +25,7 @@
     wanted.note("m", 2, at(0), at(0));
     wanted.note("m", 3, at(3000), at(3000));
   }
-  WantedWeights wanted{WeightBounds{kBound, at(0)}};
+  DesiredWeights wanted{WeightBounds{kBound, at(0)}};
 };
 
 }  // namespace
--- a/test/gateway/forwarder_world.h
+++ b/test/gateway/forwarder_world.h
@@ -394,7 +394,7 @@
   LeapingClock clock;
   TableInForce table;
   BackendSet backends;
-  WantedWeights wanted;
+  DesiredWeights wanted;
   ConnectionPool connections;
   SecondSendBudget budget;
   TestProtocol protocol;
--- a/test/peers/mirror_role_test.cpp
+++ b/test/peers/mirror_role_test.cpp
@@ -52,7 +52,7 @@
 
     size_t heard = 0;
     StateMirror mirror;
-    WantedWeights wanted;
+    DesiredWeights wanted;
     RevisionTimes revisionTimes;
     MirrorRole role;
     Outbox sender;
--- a/test/peers/named_versions_test.cpp
+++ b/test/peers/named_versions_test.cpp
@@ -65,7 +65,7 @@
   uint64_t id;
   Time now;
   std::deque<proto::Envelope> sent;
-  WantedWeights wanted;
+  DesiredWeights wanted;
   RevisionTimes revisionTimes;
   StateMirror mirror;
   MirrorRole role;
--- a/test/platform/ingress_test.cpp
+++ b/test/platform/ingress_test.cpp
@@ -104,7 +104,7 @@
   SystemClock clock;
   gateway::TableInForce table;
   BackendSet backends;
-  WantedWeights wanted;
+  DesiredWeights wanted;
   ScriptedBackend engine;
   gateway::ConnectionPool connections;
   gateway::SecondSendBudget budget;
--- a/test/platform/mirror_decoder_test.cpp
+++ b/test/platform/mirror_decoder_test.cpp
@@ -29,7 +29,7 @@
   weights::test::TestClock clock;
   gateway::TableInForce table;
   BackendSet backends;
-  WantedWeights wanted{WeightBounds{}};
+  DesiredWeights wanted{WeightBounds{}};
   RevisionTimes revisionTimes;
   quarantine::QuarantineTable quarantined;
   MirrorDecoder decoder{FollowedState{clock, table, backends, wanted, revisionTimes, quarantined}};
--- a/test/platform/table_spread_test.cpp
+++ b/test/platform/table_spread_test.cpp
@@ -144,7 +144,7 @@
     NodeId id;
     LinkWorld& world;
     peers::StateMirror mirror;
-    WantedWeights wanted;
+    DesiredWeights wanted;
     RevisionTimes revisionTimes;
     peers::MirrorRole role;
     LargeMessageQueue queue{static_cast<size_t>(Knobs().peerQueueBytes)};
--- a/test/weights/weight_plan_test.cpp
+++ b/test/weights/weight_plan_test.cpp
@@ -22,7 +22,7 @@
 }  // namespace
 
 TEST_CASE("the most urgent engines go first, all to the newest version") {
-  WantedWeights wanted(WeightBounds{});
+  DesiredWeights wanted(WeightBounds{});
   wanted.note("m", 2, at(0), at(0));
   wanted.note("m", 3, at(2000), at(2000));
   BackendListing leaving = engine("d", 1);
@@ -37,7 +37,7 @@
 }
 
 TEST_CASE("the first move starts as late as the last one's deadline allows") {
-  WantedWeights wanted(WeightBounds{});
+  DesiredWeights wanted(WeightBounds{});
   wanted.note("m", 2, at(0), at(0));
   PlanBounds bounds;
   bounds.maxConcurrentMoves = 2;
--- a/test/weights/weight_world.h
+++ b/test/weights/weight_world.h
@@ -164,7 +164,7 @@
               MoverOptions{name, std::chrono::seconds(3), seed}) {}
 
   BackendSet backends;
-  WantedWeights wanted;
+  DesiredWeights wanted;
   LedgerView view;
   WeightMover mover;
   bool isAlive = true;
