--- a/src/gateway/backend_choice.cpp
+++ b/src/gateway/backend_choice.cpp
@@ -88,8 +88,7 @@
 }
 
 /// @return the best candidates in the order in which a request with shared parts tries them: its
-/// home
-///         first, back ends that exceed their share of this node's requests last. Empty for
+///         home first, back ends that exceed their share of this node's requests last. Empty for
 ///         requests without shared parts.
 Candidates firstHomes(const IncomingRequest& request, const Candidates& usable) {
   const std::optional<std::string> part = affinityPart(request);
--- a/src/gateway/backend_choice.h
+++ b/src/gateway/backend_choice.h
@@ -71,8 +71,7 @@
                                                  Duration longestWait);
 
 /// @return the known time until a candidate may accept a request, if stated limits and rests are
-/// the
-///         reason why none was chosen; std::nullopt if a candidate neither rests nor states a
+///         the reason why none was chosen; std::nullopt if a candidate neither rests nor states a
 ///         limit, or if all are leaving.
 std::optional<Duration> soonestTaker(const std::vector<BackendView>& candidates,
                                      const EngineLoads& loads, Time now);
@@ -81,8 +80,7 @@
 EngineDemand demandOf(const IncomingRequest& request, Time now);
 
 /// @return the scope under which engines cache a request's parts: requests of an isolated tenant
-/// share
-///         them with no other tenant, and nothing is shared across weights versions.
+///         share them with no other tenant, and nothing is shared across weights versions.
 std::string cacheScopeOf(const IncomingRequest& request, uint64_t weightsVersion);
 
 }  // namespace fernmoor::gateway
--- a/src/gateway/begin_deadline.h
+++ b/src/gateway/begin_deadline.h
@@ -26,14 +26,12 @@
  public:
   /// @param wanted outlives the deadline.
   /// @param requestId determines the request's offset in the spread, so that requests waiting
-  /// together
-  ///        are not all retried at the same instant.
-  BeginDeadline(const WantedWeights& wanted, const std::string& requestId);
+  ///        together are not all retried at the same instant.
+  BeginDeadline(const DesiredWeights& wanted, const std::string& requestId);
 
   /// Starts an attempt at a back end that holds these weights.
   /// @param showsBegin whether the answer shows when the request begins. If not, the request is
-  /// never
-  ///        withdrawn, as it may have begun long ago.
+  ///        never withdrawn, as it may have begun long ago.
   void start(const std::string& model, uint64_t weights, bool showsBegin);
   /// Records that the first event arrived from that back end.
   void noteBegun() { hasBegun_ = true; }
@@ -46,7 +44,7 @@
   bool isOver(Time now) const;
 
  private:
-  const WantedWeights& wanted_;
+  const DesiredWeights& wanted_;
   const Duration spread_;
   std::string model_;
   uint64_t weights_ = 0;
--- a/src/gateway/connection_pool.h
+++ b/src/gateway/connection_pool.h
@@ -35,8 +35,7 @@
                 Time now);
   /// Opens a connection to a back end that broke one off, and keeps it for the next request.
   /// @return false if none could be opened within two round trips between regions: the process at
-  /// the
-  ///         address, or its machine, has ended.
+  ///         the address, or its machine, has ended.
   bool stillAnswers(uint64_t owner, const SocketAddress& address, Time now);
   size_t idleCount() const;
 
--- a/src/gateway/engine_attempt.h
+++ b/src/gateway/engine_attempt.h
@@ -44,8 +44,7 @@
   /// longer than the deadline.
   /// @param bytes replaced.
   /// @return kDone with data; or without data at the end of the body (see bodyComplete()) and when
-  /// one
-  ///         piece of the wait has passed.
+  ///         one piece of the wait has passed.
   AttemptStep readBody(CallerChannel& caller, Time deadline, std::string& bytes);
 
   bool bodyComplete() const { return body_ && body_->complete(); }
--- a/src/gateway/outcome_log.h
+++ b/src/gateway/outcome_log.h
@@ -34,11 +34,9 @@
   OutcomeLog();
   /// Requests budget for the log line of a request.
   /// @param wentWell the request succeeded in time; such lines are logged at debug level only and
-  /// are
-  ///        not limited.
+  ///        are not limited.
   /// @return std::nullopt if the line must be dropped; else the number of lines of this outcome
-  /// that
-  ///         were dropped before it.
+  ///         that were dropped before it.
   std::optional<uint64_t> take(RequestOutcome outcome, bool wentWell, Time now);
 
  private:
--- a/src/gateway/request_run.h
+++ b/src/gateway/request_run.h
@@ -63,8 +63,7 @@
   bool mayAbandonEngine() const;
   Time stepDeadline() const;
   /// @return when to check next whether the request has to be withdrawn from its back end,
-  /// `leaveAt`
-  ///         at the latest.
+  ///         `leaveAt` at the latest.
   Time nextCheck(Time leaveAt) const;
   bool keepsWaitingForSilentEngine();
   AttemptStep awaitHead(EngineAttempt& attempt);
--- a/src/gateway/send_decisions.h
+++ b/src/gateway/send_decisions.h
@@ -17,22 +17,18 @@
 bool canBeInTime(const IncomingRequest& request, const ExpectedTimes& expected, Time now);
 
 /// @param urgency 0 is the most urgent; each step halves the wait, so that more urgent requests
-/// find
-///        shorter queues.
+///        find shorter queues.
 /// @param mayBeRefused the request was not sent yet, so the wait must leave time to meet its
-/// target;
-///        otherwise the wait is bounded by the deadline only.
+///        target; otherwise the wait is bounded by the deadline only.
 /// @return how long a request may wait for an engine that has reached the limit it states.
 Duration longestPermitWait(const IncomingRequest& request, int urgency, bool mayBeRefused,
                            Time now);
 
 /// @param expectedFirstEvent time from the send to the first event; std::nullopt if unknown or if
-/// that
-///        event has arrived.
+///        that event has arrived.
 /// @param most upper bound if `expectedFirstEvent` is not set.
 /// @return how long a back end may be silent before the request is retried at another one, if it
-/// may
-///         be retried.
+///         may be retried.
 Duration silenceLimit(const IncomingRequest& request, std::optional<Duration> expectedFirstEvent,
                       Duration most);
 
@@ -45,8 +41,7 @@
 };
 
 /// @return the error for its caller. Only for a request that has not run it states so and includes
-/// a
-///         retry time.
+///         a retry time.
 Error givenUpError(const GivenUp& request);
 
 /// @param retryAfter time after which the caller should retry.
--- a/src/gateway/send_planner.h
+++ b/src/gateway/send_planner.h
@@ -25,7 +25,7 @@
 struct PlannerServices {
   const Clock& clock;
   const BackendSet& backends;
-  const WantedWeights& wanted;
+  const DesiredWeights& wanted;
   PartHints& parts;
   EngineLoads& loads;
 };
@@ -80,8 +80,7 @@
   /// @return how long the request may wait for a permit.
   Duration maxPermitWait(const PlanInput& input, Time now);
   /// @return the time until a back end accepts a request; std::nullopt if stated limits and rests
-  /// are
-  ///         not the reason why none was chosen.
+  ///         are not the reason why none was chosen.
   std::optional<Duration> unpermittedFor(std::vector<BackendView> members, uint64_t lowest,
                                          Time now) const;
   /// Chooses a back end where the request is expected to begin before newer weights become
--- a/src/peers/mirror_role.h
+++ b/src/peers/mirror_role.h
@@ -64,7 +64,7 @@
  public:
   /// @param mirror, wanted, revisionTimes must outlive the role.
   /// @param startedAt start time of this node.
-  MirrorRole(NodeId self, StateMirror& mirror, WantedWeights& wanted, RevisionTimes& revisionTimes,
+  MirrorRole(NodeId self, StateMirror& mirror, DesiredWeights& wanted, RevisionTimes& revisionTimes,
              Time startedAt)
       : self_(self),
         mirror_(mirror),
@@ -79,9 +79,8 @@
   /// @return whether and why this node must read the store now.
   ReadDuty duty(Time now) const;
   /// @return the rank of this node among those that stand in for the readers if these fail at a
-  /// task
-  ///         of a single node; nothing if it is not one of the first few. Draining nodes keep their
-  ///         rank for as long as they are alive.
+  ///         task of a single node; nothing if it is not one of the first few. Draining nodes keep
+  ///         their rank for as long as they are alive.
   std::optional<size_t> standbyRank() const;
   /// Sends changes that are new to this node to the nodes that polled it recently.
   void announce(MirrorKind kind, uint64_t fromRevision, Time now, MessageSender& sender);
@@ -137,7 +136,7 @@
   const NodeId self_;
   StateMirror& mirror_;
   MirrorContent content_;
-  WantedWeights& wanted_;
+  DesiredWeights& wanted_;
   RevisionTimes& revisionTimes_;
   const Time startedAt_;
   mutable std::mutex mutex_;
--- a/src/peers/packed_entries.h
+++ b/src/peers/packed_entries.h
@@ -17,8 +17,7 @@
                  proto::MirrorChanges& changes);
 
 /// @return the entries of the message, compressed or not; kTooLarge if they exceed the maximum
-/// size,
-///         kInvalidRequest if the bytes can't be decoded. Never throws.
+///         size, kInvalidRequest if the bytes can't be decoded. Never throws.
 Result<std::vector<MirrorEntry>> unpackEntries(const proto::MirrorChanges& changes);
 
 }  // namespace fernmoor::peers
--- a/src/peers/quarantine_directory.h
+++ b/src/peers/quarantine_directory.h
@@ -82,8 +82,7 @@
 
   // All of these: call with the lock held.
   /// @return the rank of this node among those that write the verdict to the store; their number if
-  /// it
-  ///         is not one of them.
+  ///         it is not one of them.
   size_t storeRank(uint64_t fingerprint) const;
   void count(uint64_t fingerprint, const quarantine::CrashedRun& run, Time now, Outbox& outbox);
   void propose(quarantine::Suspicion suspicion, Time now, Outbox& outbox);
@@ -98,8 +97,7 @@
   /// Turns proposals of this node into verdicts once the time for objections is over.
   void decideDueProposals(Time now);
   /// @return nodes that may own requests: those that are neither draining nor suspected; only this
-  /// one
-  ///         if there are none.
+  ///         one if there are none.
   std::vector<NodeId> ownerCandidates() const;
   /// Sends the evidence held here to the current owners, which may have changed.
   void handOver(Time now, Outbox& outbox);
--- a/src/peers/relay_tiers.h
+++ b/src/peers/relay_tiers.h
@@ -20,8 +20,7 @@
 /// Prefers nodes with high link bandwidth: a relay forwards what it receives to about sixteen
 /// nodes, and a reader transfers the whole table over its link at each read.
 /// @return two readers and no further relays in a small deployment; otherwise one relay per zone
-/// plus
-///         one for every sixteen nodes of it, with a few of the relays as readers.
+///         plus one for every sixteen nodes of it, with a few of the relays as readers.
 RelayTiers relayTiers(const MembershipSnapshot& members);
 
 }  // namespace fernmoor::peers
--- a/src/peers/state_mirror.h
+++ b/src/peers/state_mirror.h
@@ -88,12 +88,10 @@
   /// @return total size of the texts of a kind, in bytes.
   size_t textBytes(MirrorKind kind) const;
   /// @return total size in bytes of the names and texts of the changes after `since`; 0 if there
-  /// are
-  ///         none.
+  ///         are none.
   size_t bytesSince(MirrorKind kind, uint64_t since) const;
   /// @return the revision from which changes are sent to a copy at `since`; 0 if it is sent the
-  /// whole
-  ///         kind.
+  ///         whole kind.
   uint64_t deltaBase(MirrorKind kind, uint64_t since) const;
   /// @return the changes that bring a copy at `since` up to date; nothing if it is.
   std::optional<MirrorDelta> since(MirrorKind kind, uint64_t since) const;
--- a/test/backends/wanted_weights_test.cpp
+++ b/test/backends/wanted_weights_test.cpp
@@ -1,6 +1,6 @@
 /// @file
-/// Tests of src/backends/wanted_weights.h: the bound of a version holds whatever a node knows of
-/// it, and counts the time in which engines could be moved.
+/// Tests of src/backends/wanted_weights.h: the bound of a version holds on every node, whatever it
+/// knows about the version, and is extended by outages in which engines can't be moved.
 #include "backends/wanted_weights.h"
 
 #include <doctest/doctest.h>
@@ -13,7 +13,7 @@
   return Time(std::chrono::seconds(1000)) + std::chrono::milliseconds(milliseconds);
 }
 
-/// Of a node that was started at 0.
+/// Bounds of a node that was started at 0.
 WeightBounds bounds() {
   return WeightBounds{std::chrono::seconds(8), at(3000)};
 }
@@ -21,7 +21,7 @@
 }  // namespace
 
 TEST_CASE("an engine must leave a version when the first newer one has its time behind it") {
-  WantedWeights wanted(WeightBounds{});
+  DesiredWeights wanted(WeightBounds{});
   CHECK_FALSE(wanted.deadlineFor("m", 1).has_value());
   wanted.note("m", 2, at(1000), at(1000));
   wanted.note("m", 3, at(4000), at(4000));
@@ -37,19 +37,19 @@
 }
 
 TEST_CASE("on weights that an engine holds requests may begin until the first newer bound ends") {
-  WantedWeights wanted(bounds());
+  DesiredWeights wanted(bounds());
   CHECK_FALSE(wanted.boundEnd("m", 1).has_value());
   wanted.note("m", 2, at(1000), at(1000));
   wanted.note("m", 3, at(4000), at(4000));
   CHECK(wanted.boundEnd("m", 1) == at(9000));
   CHECK(wanted.boundEnd("m", 2) == at(12000));
   CHECK_FALSE(wanted.boundEnd("m", 3).has_value());
-  wanted.noteStoreAway(at(5000));
+  wanted.noteStoreUnavailable(at(5000));
   CHECK(wanted.boundEnd("m", 1) == at(13000));
 }
 
 TEST_CASE("of a version named nobody knows when the bound ends when the node is held to it") {
-  WantedWeights wanted(bounds());
+  DesiredWeights wanted(bounds());
   wanted.note("m", 2, std::nullopt, at(50));
   CHECK(*wanted.deadlineFor("m", 1) == at(3000));
   CHECK(wanted.dueVersion("m", at(2999)) == 0);
@@ -83,27 +83,27 @@
 }
 
 TEST_CASE("a node that was not there learns of all versions whose bounds matter still") {
-  WantedWeights older(bounds());
+  DesiredWeights older(bounds());
   older.note("m", 2, std::nullopt, at(0));
   older.note("m", 3, at(1000), at(1000));
   older.note("m", 4, at(4000), at(4000));
-  WantedWeights restarted(WeightBounds{std::chrono::seconds(8), at(8000)});
+  DesiredWeights restarted(WeightBounds{std::chrono::seconds(8), at(8000)});
   restarted.note("m", 4, std::nullopt, at(5000));
-  for (const YoungVersion& young : older.youngVersions(at(5000))) {
+  for (const RecentVersion& young : older.recentVersions(at(5000))) {
     restarted.learnSince(young.model, young.version, at(5000) - young.age, at(5000));
   }
   CHECK(restarted.deadlineFor("m", 2) == at(9000));
   CHECK(restarted.deadlineFor("m", 3) == at(12000));
   CHECK(restarted.dueVersion("m", at(8999)) == 0);
   CHECK(restarted.dueVersion("m", at(9000)) == 3);
-  CHECK(older.youngVersions(at(60000)).empty());
+  CHECK(older.recentVersions(at(60000)).empty());
 }
 
 TEST_CASE("a bound counts from when the store was away last, if it had not passed by then") {
-  WantedWeights wanted(bounds());
+  DesiredWeights wanted(bounds());
   wanted.note("m", 2, at(1000), at(1000));
   wanted.note("m", 3, at(4000), at(4000));
-  wanted.noteStoreAway(at(10000));
+  wanted.noteStoreUnavailable(at(10000));
   CHECK(wanted.dueVersion("m", at(9000)) == 2);
   CHECK(wanted.dueVersion("m", at(17999)) == 2);
   CHECK(wanted.dueVersion("m", at(18000)) == 3);
@@ -116,8 +116,8 @@
     CHECK(wanted.dueVersion("m", at(18500)) == 4);
   }
   SUBCASE("a node that found a version after the outage counts from it") {
-    WantedWeights restarted(bounds());
-    restarted.noteStoreAway(at(2500));
+    DesiredWeights restarted(bounds());
+    restarted.noteStoreUnavailable(at(2500));
     restarted.note("m", 2, std::nullopt, at(2600));
     CHECK(restarted.dueVersion("m", at(10499)) == 0);
     CHECK(restarted.dueVersion("m", at(10500)) == 2);
--- a/test/gateway/begin_deadline_test.cpp
+++ b/test/gateway/begin_deadline_test.cpp
@@ -25,7 +25,7 @@
     wanted.note("m", 2, at(0), at(0));
     wanted.note("m", 3, at(3000), at(3000));
   }
-  WantedWeights wanted{WeightBounds{kBound, at(0)}};
+  DesiredWeights wanted{WeightBounds{kBound, at(0)}};
 };
 
 }  // namespace
@@ -48,7 +48,7 @@
     CHECK_FALSE(deadline.withdrawAt().has_value());
   }
   SUBCASE("an outage of the store postpones the bound, a newly named version creates it") {
-    world.wanted.noteStoreAway(at(6000));
+    world.wanted.noteStoreUnavailable(at(6000));
     CHECK_FALSE(deadline.isOver(at(13000)));
     CHECK(deadline.isOver(at(14000)));
     deadline.start("m", 3, true);
--- a/test/platform/engine_protocol_test.cpp
+++ b/test/platform/engine_protocol_test.cpp
@@ -32,7 +32,8 @@
 
 }  // namespace
 
-TEST_CASE("a request to a back end carries its id, the remaining time and the tenant, but not the key") {
+TEST_CASE(
+    "a request to a back end carries its id, the remaining time and the tenant, but not the key") {
   Sent sent;
   sent.request.tenant = gateway::Tenant{"sese", false, 0};
   sent.request.key = "secret";
@@ -70,7 +71,8 @@
   CHECK_FALSE(sent.facts(503, {{"X-Request-Id", "r0"}, {"X-Not-Executed", "1"}}).didNotRun);
 }
 
-TEST_CASE("a limit is read from a single header with a decimal number in a response to our request") {
+TEST_CASE(
+    "a limit is read from a single header with a decimal number in a response to our request") {
   using gateway::LimitMention;
   Sent sent;
   const auto mentionOf = [&](const std::string& text, int status = 200) {
@@ -131,7 +133,8 @@
   CHECK(sent.facts(200, {{"X-Request-Id", "r1"}, {"X-Weight-Versions", "4"}}).weightsVersion == 4);
 }
 
-TEST_CASE("an engine announces its shutdown with one exact header value in a response to our request") {
+TEST_CASE(
+    "an engine announces its shutdown with one exact header value in a response to our request") {
   Sent sent;
   const auto factsOf = [&](const std::string& text, int status = 200) {
     return sent.facts(status, {{"X-Request-Id", "r1"}, {"Server-Leaving", text}});
--- a/test/platform/mirror_decoder_test.cpp
+++ b/test/platform/mirror_decoder_test.cpp
@@ -29,7 +29,7 @@
   weights::test::TestClock clock;
   gateway::TableInForce table;
   BackendSet backends;
-  WantedWeights wanted{WeightBounds{}};
+  DesiredWeights wanted{WeightBounds{}};
   RevisionTimes revisionTimes;
   quarantine::QuarantineTable quarantined;
   MirrorDecoder decoder{DecoderTables{clock, table, backends, wanted, revisionTimes, quarantined}};
@@ -63,12 +63,12 @@
     world.decoder.take(MirrorKind::kWeights, {MirrorEntry{"m", revision, false, text}}, false);
   };
   take(12, 1);  // Written before this process knew any revision of the store.
-  CHECK(world.wanted.youngVersions(now).empty());
+  CHECK(world.wanted.recentVersions(now).empty());
   take(25, 2);
   take(31, 3);
-  REQUIRE(world.wanted.youngVersions(now).size() == 2);
-  CHECK(world.wanted.youngVersions(now)[0].age == std::chrono::seconds(3));
-  CHECK(world.wanted.youngVersions(now)[1].age == std::chrono::seconds(1));
+  REQUIRE(world.wanted.recentVersions(now).size() == 2);
+  CHECK(world.wanted.recentVersions(now)[0].age == std::chrono::seconds(3));
+  CHECK(world.wanted.recentVersions(now)[1].age == std::chrono::seconds(1));
 }
 
 TEST_CASE("quarantines are read from the store and lifted when their object is deleted") {
