--- a/test/gateway/byte_budget_test.cpp
+++ b/test/gateway/byte_budget_test.cpp
@@ -11,7 +11,7 @@
 
 namespace fernmoor::gateway {
 
-TEST_CASE("a budget gives all of what is asked or nothing, and takes back what was held") {
+TEST_CASE("a budget grants a reservation completely or not at all, and reclaims released bytes") {
   ByteBudget budget(100);
   {
     HeldBytes first(budget);
@@ -29,14 +29,14 @@
   CHECK(budget.held() == 0);
 }
 
-TEST_CASE("a budget of a machine whose memory is unknown gives whatever is asked") {
+TEST_CASE("a budget is unlimited if the machine's memory size is unknown") {
   ByteBudget budget(callersShare(0));
   HeldBytes held(budget);
   CHECK(held.add(size_t{1} << 40));
   CHECK(budget.hasRoom(size_t{1} << 40));
 }
 
-TEST_CASE("many requests at once never hold more than the budget, and leave nothing behind") {
+TEST_CASE("concurrent requests never exceed the budget and release all their bytes") {
   constexpr size_t kBudget = 1000000;
   ByteBudget budget(kBudget);
   std::atomic<size_t> most{0};
--- a/test/gateway/engine_permits_test.cpp
+++ b/test/gateway/engine_permits_test.cpp
@@ -43,7 +43,7 @@
 
 }  // namespace
 
-TEST_CASE("permits keep to the rate, and what is asked for is used") {
+TEST_CASE("permits stay within the rate and use it up under steady demand") {
   for (const double rate : {0.25, 0.5, 1.0, 1.4, 10.0, 200.0}) {
     EnginePermits permits;
     const std::vector<Time> sends = permitsOf(permits, rate, 0, 40000, 1);
@@ -52,7 +52,7 @@
   }
 }
 
-TEST_CASE("an engine that was not heard of gives its first permit after an interval") {
+TEST_CASE("the first permit of an unknown engine is due after one interval") {
   EnginePermits permits;
   const PermitOffer offer = permits.take(kEngine, 2.0, Duration(0), at(0));
   CHECK_FALSE(offer.isTaken);
@@ -61,7 +61,7 @@
 }
 
 TEST_CASE(
-    "a request that can wait takes the permit that comes in time, and those after it wait longer") {
+    "a request takes the next permit within its longest wait, and later requests wait longer") {
   EnginePermits permits;
   const Duration patience = std::chrono::milliseconds(300);
   permits.take(kEngine, 5.0, Duration(0), at(0));
@@ -71,13 +71,13 @@
   const PermitOffer second = permits.take(kEngine, 5.0, patience, at(0));
   CHECK_FALSE(second.isTaken);
   CHECK((second.wait == std::chrono::milliseconds(400)));
-  SUBCASE("until one that was not used comes back") {
+  SUBCASE("a returned permit is available again") {
     permits.giveBack(kEngine, at(100));
     CHECK(permits.take(kEngine, 5.0, patience, at(100)).isTaken);
   }
 }
 
-TEST_CASE("a lower limit holds at once, without what was saved up") {
+TEST_CASE("a lower limit applies at once and discards accumulated permits") {
   EnginePermits permits;
   permitsOf(permits, 10.0, 0, 1000, 100);
   CHECK_FALSE(permits.take(kEngine, 0.5, Duration(0), at(3000)).isTaken);
@@ -86,7 +86,7 @@
   CHECK(permitsOf(permits, 10.0, 12000, 2000, 1).size() >= 19);
 }
 
-TEST_CASE("what was given and what was not is counted between two looks") {
+TEST_CASE("granted and withheld permits are counted since the last query") {
   EnginePermits permits;
   permitsOf(permits, 1.0, 0, 2001, 500);
   const std::vector<PermitCounts> counts = permits.takeCounts();
--- a/test/gateway/forwarder_cache_test.cpp
+++ b/test/gateway/forwarder_cache_test.cpp
@@ -53,7 +53,7 @@
   CHECK_FALSE(holdsText(engine.lastRequest(), "Save-To: "));
 }
 
-TEST_CASE("prompts are shared out among all stores, and each is found where it was saved") {
+TEST_CASE("prompts are distributed among all stores, and each is fetched from its own") {
   constexpr int kPrompts = 24;
   CacheWorld world;
   auto next = std::make_shared<TrafficTable>();
@@ -82,7 +82,7 @@
   CHECK(used.size() == 3);
 }
 
-TEST_CASE("a part is taken from the engine that read it last, if that holds the same weights") {
+TEST_CASE("a part is not fetched from an engine that left the pool or has other weights") {
   CacheWorld world;
   ScriptedBackend& first = world.addEngine("a", 3);
   world.forwarder.serve(world.prompt(), world.caller);
@@ -104,7 +104,7 @@
   CHECK(first.requests() == 1);
 }
 
-TEST_CASE("a request goes to another engine while its home has much to read for other nodes") {
+TEST_CASE("a request goes to another engine while other nodes have much pending work at its home") {
   CacheWorld world;
   world.addEngine("a", 3);
   world.addEngine("b", 3);
@@ -119,13 +119,13 @@
   CHECK(world.scripted[isFirstHome ? 0 : 1]->requests() == 1);
 }
 
-TEST_CASE("a request that can't be in time is refused at once, before any engine reads it") {
+TEST_CASE("a request is refused before it is sent if its wait leaves too little of its target") {
   CacheWorld world;
   ScriptedBackend& engine = world.addEngine("a", 3);
   const PendingRequest ofOther{2, 1, EngineDemand{80000, 80000, std::chrono::seconds(3)}};
   world.loads.work.reserve(stableHash("a"), ofOther, EngineRoom{}, 100000, world.clock.now());
-  // At the 40,000 tokens a second that an unknown engine is taken for: 2.2 s.
-  SUBCASE("and told when to come back") {
+  // At the assumed 40,000 tokens a second of an unknown engine: 2.2 s.
+  SUBCASE("a wait over the target is refused with a retry time") {
     world.row.target = std::chrono::milliseconds(1500);
     world.forwarder.serve(world.prompt(), world.caller);
     CHECK(engine.requests() == 0);
@@ -137,7 +137,7 @@
     world.loads.work.release(stableHash("a"), 2, 1, world.clock.now());
     CHECK(world.loads.work.size() == 0);  // It is not counted at the engine.
   }
-  SUBCASE("but served where the wait leaves enough of its target") {
+  SUBCASE("a wait that leaves enough of the target is served") {
     world.row.target = std::chrono::seconds(6);
     world.forwarder.serve(world.prompt(), world.caller);
     CHECK(engine.requests() == 1);
@@ -151,10 +151,10 @@
   ScriptedBackend& older = world.addEngine("a", 3);
   const PendingRequest ofOther{2, 1, EngineDemand{80000, 80000, std::chrono::seconds(3)}};
   world.loads.work.reserve(stableHash("a"), ofOther, EngineRoom{}, 100000, world.clock.now());
-  // At the 40,000 tokens a second that an unknown engine is taken for it waits 2 s.
+  // At the assumed 40,000 tokens a second of an unknown engine it waits 2 s.
   const Time now = world.clock.now();
   const Duration inForce = WeightBounds{}.inForce;
-  SUBCASE("where no engine holds these it is refused, and counts nowhere") {
+  SUBCASE("without an engine with the newer weights it is refused and not counted") {
     world.wanted.note("m", 4, now - inForce + std::chrono::milliseconds(2500), now);
     world.forwarder.serve(world.prompt(), world.caller);
     CHECK(older.requests() == 0);
@@ -162,21 +162,21 @@
     world.loads.work.release(stableHash("a"), 2, 1, world.clock.now());
     CHECK(world.loads.work.size() == 0);
   }
-  SUBCASE("it goes to an engine that holds these") {
+  SUBCASE("it goes to an engine with the newer weights") {
     ScriptedBackend& newer = world.addEngine("b", 4);
     world.wanted.note("m", 4, now - inForce + std::chrono::milliseconds(2500), now);
     world.forwarder.serve(world.prompt(), world.caller);
     CHECK(older.requests() == 0);
     CHECK(newer.requests() == 1);
   }
-  SUBCASE("it is sent where it begins in time") {
+  SUBCASE("it is sent to the older weights if it begins before the bound") {
     world.wanted.note("m", 4, now - inForce + std::chrono::milliseconds(5000), now);
     world.forwarder.serve(world.prompt(), world.caller);
     CHECK(older.requests() == 1);
   }
 }
 
-TEST_CASE("a large prompt is not refused for the time that it takes to be read") {
+TEST_CASE("a large prompt is not refused for its own reading time") {
   CacheWorld world;
   ScriptedBackend& engine = world.addEngine("a", 3);
   IncomingRequest large = world.prompt();
@@ -186,7 +186,7 @@
   CHECK(engine.requests() == 1);
 }
 
-TEST_CASE("an engine is given the time that is expected of it, thrice, before it is left") {
+TEST_CASE("the silence limit of an engine follows its expected time") {
   CacheWorld world;
   world.row.repetition = Repetition::kRepeatable;
   world.row.target = std::chrono::seconds(10);
@@ -207,7 +207,7 @@
   CHECK(slowAnswers == 1);
 }
 
-TEST_CASE("where nobody counts for all nodes, a request goes to its home") {
+TEST_CASE("without an answer about load, a request goes to its home") {
   CacheWorld world;
   world.loads.isSilent = true;
   world.addEngine("a", 3);
--- a/test/gateway/forwarder_limit_test.cpp
+++ b/test/gateway/forwarder_limit_test.cpp
@@ -20,7 +20,7 @@
 
 }  // namespace
 
-TEST_CASE("what an answer states of its back end's limit is told, with when its request was sent") {
+TEST_CASE("a limit stated in an answer is reported with the send time of its request") {
   ForwarderWorld world;
   world.add("a", always(answer("200 OK", "body", "Id: r1\r\nSigned: yes\r\nLimit: 1.4\r\n")));
   const Time before = world.clock.now();
@@ -58,24 +58,24 @@
   CHECK(world.loads.permits == 0);
 }
 
-TEST_CASE("a permit goes back whose request is not sent") {
+TEST_CASE("the permit of a request that is not sent is returned") {
   ForwarderWorld world;
   world.row.target = std::chrono::seconds(1);
   world.loads.permitWait = kWait;
-  SUBCASE("as its caller left while it waited") {
+  SUBCASE("the caller disconnects during the wait") {
     ScriptedBackend& backend = world.add("a", always(kAnswer));
     world.caller.socket.farCloses();
     world.serve();
     CHECK(backend.requests() == 0);
     CHECK(world.caller.refusals.empty());
   }
-  SUBCASE("as its engine can't be reached") {
+  SUBCASE("the engine accepts no connection") {
     ScriptedBackend& backend = world.add("a", always(kAnswer));
     backend.stopListening();
     world.serve();
     CHECK(promisesNotRun(world.caller));
   }
-  SUBCASE("as no second send is paid for") {
+  SUBCASE("the second-send budget is exhausted") {
     ForwarderWorld poor(0);
     poor.row.target = std::chrono::seconds(1);
     poor.row.repetition = Repetition::kRepeatable;
@@ -89,7 +89,7 @@
   CHECK(world.loads.permits == 0);
 }
 
-TEST_CASE("a request beyond its tenant's limit is refused before any back end is asked") {
+TEST_CASE("a tenant's limit is applied before a back end is chosen") {
   ForwarderWorld world;
   ScriptedBackend& backend = world.add("e1", [](Poco::Net::StreamSocket& socket, const auto&) {
     say(socket, answer("200 OK", "whole"));
@@ -100,7 +100,7 @@
   request.tenant->limits.unit = LimitUnit::kTokens;
   request.tenant->costWithoutTokens = 200;
   request.key = "key";
-  SUBCASE("with the time to come back") {
+  SUBCASE("a request over the limit is refused with a retry time") {
     world.limits.isOver = true;
     world.forwarder.serve(request, world.caller);
     CHECK(backend.requests() == 0);
@@ -108,17 +108,17 @@
     CHECK((world.caller.refusals[0].kind == ErrorKind::kRateLimited));
     CHECK((world.caller.refusals[0].retryAfter == Duration(700000)));
   }
-  SUBCASE("and one that passes counts its prompt and its longest answer") {
+  SUBCASE("a request counts its prompt and its longest answer") {
     request.promptTokens = 1460;
     request.mostAnswerTokens = 80;
     world.forwarder.serve(request, world.caller);
     CHECK(world.limits.counted == 1540);
   }
-  SUBCASE("or the fixed number where it tells none") {
+  SUBCASE("a request without token counts counts the fixed cost") {
     world.forwarder.serve(request, world.caller);
     CHECK(world.limits.counted == 200);
   }
-  SUBCASE("and gets back what it counted where no back end ran it") {
+  SUBCASE("the cost of a request that no back end ran is returned") {
     world.backends.remove("e1");
     world.forwarder.serve(request, world.caller);
     CHECK(world.caller.refusals.size() == 1);
@@ -126,8 +126,7 @@
   }
 }
 
-TEST_CASE(
-    "a back end that asks for rest is no failure: the request runs elsewhere and it is told") {
+TEST_CASE("a back end that asks for rest is not avoided as failed; its rest is reported") {
   ForwarderWorld world;
   const std::string away = answer("503 Away", "", "Id: r1\r\nNot-Run: 1\r\nRest: 3000\r\n");
   ScriptedBackend& resting = world.add("a", always(away));
@@ -144,7 +143,7 @@
   }
 }
 
-TEST_CASE("where all back ends rest a request is refused at once, with the soonest end of a rest") {
+TEST_CASE("a request is refused with the earliest end of a rest if all back ends rest") {
   ForwarderWorld world;
   ScriptedBackend& backend = world.add("a", always(kAnswer));
   const uint64_t engine = incarnationHash(world.backends.all().at(0));
--- a/test/gateway/forwarder_quarantine_test.cpp
+++ b/test/gateway/forwarder_quarantine_test.cpp
@@ -43,7 +43,7 @@
   request.tenant = Tenant{"t", false, 0};
   request.headers.set("Host", "h");
   const uint64_t first = fingerprintOf(request);
-  SUBCASE("the same again") {
+  SUBCASE("the same request with another id, deadline and header") {
     request.id = "r2";
     request.deadline += std::chrono::seconds(3);
     request.headers.set("Other", "x");
@@ -65,21 +65,21 @@
   SUBCASE("another body") {
     request.body = "the Body";
   }
-  SUBCASE("a boundary between path and body elsewhere") {
+  SUBCASE("another boundary between path and body") {
     request.target += "t";
     request.body = "he body";
   }
   CHECK(fingerprintOf(request) != first);
 }
 
-TEST_CASE("a run that ends with its back end is held against the request, other ends are not") {
+TEST_CASE("a crash is recorded only if the back end's process ended during the run") {
   ForwarderWorld world;
   SUBCASE("the process has ended") {
     addCrashing(world, "a");
     world.serve();
     CHECK(world.quarantine.crashes == std::vector<uint64_t>{fingerprintOf(world.request())});
   }
-  SUBCASE("the process had said that it leaves") {
+  SUBCASE("the process had announced that it leaves") {
     addCrashing(world, "a");
     const BackendListing listing = *world.backends.find("a");
     world.add("b", [&](Poco::Net::StreamSocket& socket, const std::string&) {
@@ -95,7 +95,7 @@
     CHECK(requestsOf(world) == 1);
     CHECK(world.quarantine.crashes.empty());
   }
-  SUBCASE("only the connection broke; the one opened to look is used again") {
+  SUBCASE("only the connection broke; the probe connection is reused") {
     std::atomic<int> answered{0};
     ScriptedBackend& backend =
         world.add("a", [&](Poco::Net::StreamSocket& socket, const std::string&) {
@@ -117,7 +117,7 @@
   CHECK(world.caller.refusals[0].kind == ErrorKind::kOutcomeUnknown);
 }
 
-TEST_CASE("a run that left a silent back end is held against the request when that one has ended") {
+TEST_CASE("a run abandoned on a silent back end is recorded as a crash once that has ended") {
   ForwarderWorld world;
   world.row.repetition = Repetition::kRepeatable;
   std::atomic<bool> isOver{false};
@@ -145,7 +145,7 @@
   CHECK(world.quarantine.crashes.size() == 2);
 }
 
-TEST_CASE("a run whose caller left a silent back end is held against the request likewise") {
+TEST_CASE("a run whose caller disconnected is recorded as a crash once its silent back end ended") {
   ForwarderWorld world;
   world.add("a", [&](Poco::Net::StreamSocket& socket, const std::string&) {
     world.clock.leap = Duration(std::chrono::seconds(1));  // The back end sends nothing meanwhile.
@@ -161,7 +161,7 @@
   CHECK(world.quarantine.crashes == std::vector<uint64_t>{fingerprintOf(world.request())});
 }
 
-TEST_CASE("a whole answer, also one that states a failure, shows that its back end outlived it") {
+TEST_CASE("a complete answer is recorded as served, also if it is an error") {
   ForwarderWorld world;
   std::string status;
   SUBCASE("success") {
@@ -175,7 +175,7 @@
   CHECK(world.quarantine.served == std::vector<uint64_t>{fingerprintOf(world.request())});
 }
 
-TEST_CASE("a quarantined request is refused at once, with a promise and a time") {
+TEST_CASE("a quarantined request is refused as not run, with a retry time") {
   ForwarderWorld world;
   world.add("a", always(answer("200 OK", "x")));
   world.quarantine.left = std::chrono::minutes(20);
@@ -187,7 +187,7 @@
   CHECK(world.limits.counted == 0);
 }
 
-TEST_CASE("a request that is quarantined by its own first attempt has no second one") {
+TEST_CASE("a request that its first attempt quarantines is not sent again") {
   ForwarderWorld world;
   world.row.repetition = Repetition::kRepeatable;
   addCrashing(world, "a");
--- a/test/gateway/forwarder_test.cpp
+++ b/test/gateway/forwarder_test.cpp
@@ -53,7 +53,7 @@
 
 }  // namespace
 
-TEST_CASE("a request and its answer pass unchanged, on a kept connection") {
+TEST_CASE("a request and its answer are forwarded unchanged on a persistent connection") {
   ForwarderWorld world;
   ScriptedBackend& backend =
       world.add("a", always(answer("201 Made", "the answer", "Id: r1\r\nSigned: yes\r\n")));
@@ -72,7 +72,7 @@
   CHECK(backend.connectionCount() == 1);
 }
 
-TEST_CASE("bytes after a whole answer belong to nobody and end the connection") {
+TEST_CASE("bytes after a complete answer are discarded and the connection is closed") {
   ForwarderWorld world;
   ScriptedBackend& backend = world.add("a", always(answer("200 OK", "x") + "HTTP/1.1 200 OK"));
   world.serve();
@@ -81,7 +81,7 @@
   CHECK(backend.connectionCount() == 2);
 }
 
-TEST_CASE("an answer to another request is never passed on, and the request may have run") {
+TEST_CASE("an answer to another request is not forwarded, and the outcome is reported as unknown") {
   ForwarderWorld world;
   world.add("a", always(answer("200 OK", "somebody else's", "Id: r0\r\n")));
   world.add("b", always(answer("200 OK", "somebody else's", "Id: r0\r\n")));
@@ -100,18 +100,18 @@
   CHECK(promisesNothing(world.caller));
 }
 
-TEST_CASE("answers are held until they are whole only while there is room for all that are held") {
+TEST_CASE("answers are buffered until complete only while the buffer budget has room") {
   const std::string begun = "HTTP/1.1 200 OK\r\nId: r1\r\nContent-Length: 100\r\n\r\nbegun";
   ForwarderWorld world;
   world.row.repetition = Repetition::kRepeatable;
   world.add("a", thenReset(begun));
   world.add("b", thenReset(begun));
-  SUBCASE("with room, one that breaks off never reaches the caller") {
+  SUBCASE("with room, a truncated answer does not reach the caller") {
     world.serve();
     CHECK(world.caller.body.empty());
     CHECK(requestsOf(world) == 2);
   }
-  SUBCASE("without room, it is passed on as it comes") {
+  SUBCASE("without room, the answer is forwarded as it arrives") {
     HeldBytes others(world.heldBytes);
     REQUIRE(others.add(kHeldBytes));
     world.serve();
@@ -122,7 +122,7 @@
   }
 }
 
-TEST_CASE("an event that does not end is no reason to hold all of it") {
+TEST_CASE("the buffering of an unterminated event is bounded") {
   const std::string head =
       "HTTP/1.1 200 OK\r\nId: r1\r\nContent-Type: text/event-stream\r\n"
       "Transfer-Encoding: chunked\r\n\r\n";
@@ -131,19 +131,19 @@
                   "0\r\n\r\n");
   };
   ForwarderWorld world;
-  SUBCASE("a long one is passed on whole") {
+  SUBCASE("a long event is forwarded completely") {
     world.add("a", streamOf(200000));
     world.serve();
     CHECK(world.caller.body.size() > 200000);
     CHECK(world.caller.finished);
   }
-  SUBCASE("beyond the bound the stream is broken off") {
+  SUBCASE("an event over the bound aborts the stream") {
     world.add("a", streamOf(2000000));
     world.serve();
     CHECK(world.caller.body == "data: first\n\n");
     CHECK(world.caller.broken);
   }
-  SUBCASE("so is one for which there is no room beside what others hold") {
+  SUBCASE("an event over the remaining buffer budget aborts the stream") {
     HeldBytes others(world.heldBytes);
     REQUIRE(others.add(kHeldBytes - 50000));
     world.add("a", streamOf(200000));
@@ -154,7 +154,7 @@
   }
 }
 
-TEST_CASE("a long body reaches the back end whole behind its head") {
+TEST_CASE("a long body reaches the back end complete after its head") {
   ForwarderWorld world;
   ScriptedBackend& backend = world.add("a", always(answer("200 OK", "x")));
   IncomingRequest request = world.request();
@@ -167,7 +167,7 @@
   CHECK(sent.substr(sent.find("\r\n\r\n") + 4) == request.body);
 }
 
-TEST_CASE("a request that may run again is sent to another back end, within its attempts") {
+TEST_CASE("a repeatable request is sent to another back end up to its attempt limit") {
   ForwarderWorld world;
   world.row.repetition = Repetition::kRepeatable;
   for (const char* id : {"a", "b", "c"}) {
@@ -178,7 +178,7 @@
   CHECK(promisesNothing(world.caller));
 }
 
-TEST_CASE("a back end that vouches not to have run a request frees it for another") {
+TEST_CASE("a request that a back end states not to have run is sent to another") {
   ForwarderWorld world;
   world.row.maxAttempts = 1;
   std::atomic<bool> hasRefused{false};  // Set before the answer: the next back end may be quick.
@@ -195,7 +195,7 @@
   CHECK(world.caller.body == "done");
 }
 
-TEST_CASE("refused by all, the caller hears at once that it has not run and when to come back") {
+TEST_CASE("a request rejected by all back ends is refused as not run, with a retry time") {
   ForwarderWorld world;
   const std::string full = answer("503 Full", "", "Id: r1\r\nNot-Run: 1\r\n");
   world.add("a", always(full));
@@ -204,7 +204,7 @@
   CHECK(promisesNotRun(world.caller));
 }
 
-TEST_CASE("a second send needs the budget") {
+TEST_CASE("a second send is not made without budget") {
   ForwarderWorld world(0);
   const std::string full = answer("503 Full", "", "Id: r1\r\nNot-Run: 1\r\n");
   world.add("a", always(full));
@@ -214,7 +214,7 @@
   CHECK(promisesNotRun(world.caller));
 }
 
-TEST_CASE("a silent back end is left for another where a second send is paid for") {
+TEST_CASE("a request to a silent back end is sent to another if the second-send budget allows it") {
   ForwarderWorld world;
   world.row.repetition = Repetition::kRepeatable;
   for (const char* id : {"a", "b"}) {
@@ -225,7 +225,7 @@
   CHECK(requestsOf(world) == 2);
 }
 
-TEST_CASE("without a second send to spend, a request stays with its silent back end to the end") {
+TEST_CASE("without second-send budget, a request waits for its silent back end") {
   ForwarderWorld world(0);
   world.row.repetition = Repetition::kRepeatable;
   for (const char* id : {"a", "b"}) {
@@ -237,7 +237,7 @@
   CHECK(requestsOf(world) == 1);
 }
 
-TEST_CASE("without a second send to spend, a stream outlasts a pause of its engine") {
+TEST_CASE("without second-send budget, a stream continues after a pause of its engine") {
   ForwarderWorld world(0);
   world.row.isStream = true;
   world.row.isResumable = true;
@@ -258,7 +258,7 @@
   CHECK(promisesNotRun(world.caller));
 }
 
-TEST_CASE("a back end that takes no connection has not run anything") {
+TEST_CASE("a request whose back end accepts no connection is reported as not run") {
   ForwarderWorld world;
   BackendListing gone;
   gone.id = "gone";
@@ -272,7 +272,7 @@
   CHECK(promisesNotRun(world.caller));
 }
 
-TEST_CASE("a failure of its own passes with its signature; a repeatable one is tried elsewhere") {
+TEST_CASE("a back end's error answer is forwarded; a repeatable request is retried elsewhere") {
   ForwarderWorld once;
   once.add("a", always(answer("500 Oops", "failed", "Id: r1\r\nSigned: a\r\n")));
   once.add("b", always(answer("500 Oops", "failed", "Id: r1\r\nSigned: a\r\n")));
@@ -296,7 +296,7 @@
   CHECK(again.caller.body == "done");
 }
 
-TEST_CASE("if nobody does better, the failure of a back end is the answer") {
+TEST_CASE("the error answer of a back end is forwarded if no other back end succeeds") {
   ForwarderWorld world;
   world.row.repetition = Repetition::kRepeatable;
   world.add("a", always(answer("500 Oops", "failed", "Id: r1\r\nSigned: a\r\n")));
@@ -307,7 +307,7 @@
   CHECK(world.caller.refusals.empty());
 }
 
-TEST_CASE("an answer that breaks off never reaches the caller as whole") {
+TEST_CASE("a truncated answer is not forwarded as complete") {
   for (const std::string& partial :
        {std::string("HTTP/1.1 200 OK\r\nId: r1\r\nContent-Length: 9\r\n\r\nhalf"),
         std::string("HTTP/1.1 200 OK\r\nId: r1\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n"),
@@ -323,7 +323,7 @@
   }
 }
 
-TEST_CASE("a stream that breaks off and may not be resumed is broken off for the caller") {
+TEST_CASE("a truncated stream that is not resumable is aborted for the caller") {
   ForwarderWorld world;
   world.row.isStream = true;
   world.add("a", thenReset(streamHead() + chunk(event(1) + "id: 2\ndata: ha")));
@@ -335,7 +335,7 @@
   CHECK_FALSE(world.caller.finished);
 }
 
-TEST_CASE("a stream that may be resumed goes on elsewhere after its last whole event") {
+TEST_CASE("a resumable stream continues on another back end after its last complete event") {
   ForwarderWorld world;
   world.row.isStream = true;
   world.row.isResumable = true;
@@ -360,7 +360,7 @@
   CHECK_FALSE(world.caller.broken);
 }
 
-TEST_CASE("a failure that was held back never follows the head of another answer") {
+TEST_CASE("a withheld error answer is not sent after the head of another answer") {
   ForwarderWorld world;
   world.row.isStream = true;
   world.row.isResumable = true;
@@ -391,7 +391,7 @@
   CHECK(world.caller.broken);
 }
 
-TEST_CASE("when the caller leaves, the back end's connection is closed") {
+TEST_CASE("the back end's connection is closed when the caller disconnects") {
   ForwarderWorld world;
   std::atomic<bool> closed{false};
   world.add("a", [&](Poco::Net::StreamSocket& socket, const std::string&) {
@@ -421,7 +421,7 @@
   CHECK(promisesNotRun(world.caller));
 }
 
-TEST_CASE("a keyed request is refused while the table cannot be proven new enough") {
+TEST_CASE("a request with a key is refused while the table is not confirmed as fresh") {
   ForwarderWorld world;
   ScriptedBackend& backend = world.add("a", always(answer("200 OK", "x")));
   TableInForce old;
--- a/test/gateway/forwarder_world.h
+++ b/test/gateway/forwarder_world.h
@@ -37,7 +37,7 @@
     }
   }
   SocketAddress address() const { return SocketAddress{"127.0.0.1", socket_.address().port()}; }
-  /// Ends the listening, as a crash does; to be called by a script.
+  /// Closes the listening socket, as a crash does. Called by a script.
   void stopListening() {
     mustClose_ = true;
     while (!hasClosed_) {
@@ -193,7 +193,7 @@
   }
 };
 
-/// Hints of one node, kept here.
+/// Part hints of a single node, kept in process.
 class TestHints : public PartHints {
  public:
   std::vector<PartHint> find(const std::vector<PartKey>& parts) override {
@@ -215,7 +215,7 @@
   std::atomic<int> questions{0};
 };
 
-/// Records what a caller gets.
+/// Records the answers sent to a caller.
 class RecordingCaller : public CallerChannel {
  public:
   bool sendHead(const AnswerHead& head) override {
@@ -246,7 +246,8 @@
   std::function<void()> onBody;
 };
 
-/// An answer of ours that promises that the request has not run, with the time to come back.
+/// Checks for an error answer of the gateway that states that the request has not run, with a
+/// retry time.
 inline bool promisesNotRun(const RecordingCaller& caller) {
   return caller.refusals.size() == 1 && caller.refusals[0].runState == RunState::kNotRun &&
          caller.refusals[0].retryAfter.has_value();
@@ -291,11 +292,11 @@
   std::atomic<uint32_t> last{0};
   bool isSilent = false;
   std::optional<Duration> permitWait;
-  std::atomic<int> permits{0};  ///< Taken and not given back.
+  std::atomic<int> permits{0};  ///< Taken and not returned.
   std::vector<EngineStatement> told;
 };
 
-/// Lets every request pass until told otherwise, and counts.
+/// Admits every request unless `isOver` is set, and sums the costs.
 class TestLimits : public TenantLimits {
  public:
   Result<Done> acquire(const Tenant& tenant, double cost) override {
@@ -319,7 +320,7 @@
   std::atomic<Duration> leap{Duration(0)};
 };
 
-/// Keeps what it is told; quarantines what the test says.
+/// Records reports; the test sets which requests are quarantined.
 class TestQuarantine : public RequestQuarantine {
  public:
   void awaitDecision(uint64_t) override { ++waits; }
@@ -345,7 +346,7 @@
 /// Silence after which a request that may run again is sent elsewhere.
 constexpr Duration kSilence{100000};
 
-/// A forwarder before scripted back ends of one pool.
+/// A forwarder with scripted back ends in one pool.
 class ForwarderWorld {
  public:
   explicit ForwarderWorld(double secondSends = 10)
--- a/test/gateway/limited_choice_test.cpp
+++ b/test/gateway/limited_choice_test.cpp
@@ -93,7 +93,7 @@
 
 }  // namespace
 
-TEST_CASE("a home that is at its limit passes requests on, and gets them while it permits some") {
+TEST_CASE("a home at its limit is skipped, and is chosen while it has permits") {
   Fixture fixture;
   const std::string id = fixture.home()->backend.listing->id;
   for (const BackendView& each : fixture.candidates) {
@@ -110,7 +110,7 @@
   CHECK(fixture.loads.questions == before + 1);
 }
 
-TEST_CASE("nothing is refused while one engine of all has no limit") {
+TEST_CASE("requests go to the only engine without a limit while all others are at theirs") {
   Fixture fixture;
   for (size_t index = 1; index < fixture.candidates.size(); ++index) {
     fixture.loads.limit(fixture.candidates[index], kNextPermit);
@@ -126,7 +126,7 @@
 }
 
 TEST_CASE(
-    "where all are at their limits a request waits for the soonest permit, if that is in time") {
+    "a request waits for the earliest permit within its longest wait if all are at their limits") {
   Fixture fixture;
   for (size_t index = 0; index < fixture.candidates.size(); ++index) {
     fixture.loads.limit(fixture.candidates[index],
@@ -159,7 +159,7 @@
   CHECK_FALSE(fixture.least().has_value());
   CHECK_FALSE(fixture.soonest(Duration(0)).has_value());
   fixture.loads.unaskedLeft = 1;
-  SUBCASE("but not where the answer is that there is no permit, however soon one comes") {
+  SUBCASE("an answer without a permit grants none, however soon the next one is due") {
     fixture.loads.silent.clear();
     for (const BackendView& each : fixture.candidates) {
       fixture.loads.waits[each.incarnation] = Duration(1);
@@ -179,21 +179,21 @@
   const Time later = fixture.context.now + std::chrono::milliseconds(600);
   fixture.candidates[0].restsUntil = later;
   fixture.candidates[1].isLeaving = true;
-  SUBCASE("while another one serves") {
+  SUBCASE("another engine is available") {
     CHECK(fixture.home()->backend.listing->id == "e2");
     CHECK(fixture.least()->backend.listing->id == "e2");
     CHECK_FALSE(soonestTaker(fixture.candidates, fixture.loads, fixture.context.now).has_value());
   }
-  SUBCASE("also one that is avoided") {
+  SUBCASE("the only other engine is avoided") {
     fixture.candidates[2].isAvoided = true;
     CHECK(fixture.home()->backend.listing->id == "e2");
     CHECK(fixture.least()->backend.listing->id == "e2");
   }
-  SUBCASE("where no other does") {
+  SUBCASE("all other engines rest") {
     fixture.candidates[2].restsUntil = later + std::chrono::seconds(1);
     CHECK(fixture.home()->backend.listing->id == "e1");
     CHECK(fixture.least()->backend.listing->id == "e1");
-    SUBCASE("the first that takes requests again is told") {
+    SUBCASE("the earliest end of a rest is reported") {
       fixture.candidates[1].restsUntil = later;
       CHECK_FALSE(fixture.home().has_value());
       CHECK_FALSE(fixture.least().has_value());
--- a/test/gateway/load_shedding_test.cpp
+++ b/test/gateway/load_shedding_test.cpp
@@ -15,7 +15,7 @@
 
 }  // namespace
 
-TEST_CASE("requests are refused from the high-water mark on until the low one is passed") {
+TEST_CASE("requests are refused from the high-water mark until memory falls below the low one") {
   LoadShedding shedding(100 * kMegabyte);
   CHECK_FALSE(shedding.note(79 * kMegabyte));
   CHECK_FALSE(shedding.isShedding());
@@ -29,14 +29,14 @@
   CHECK_FALSE(shedding.isShedding());
 }
 
-TEST_CASE("a process that does not know its limit never refuses") {
+TEST_CASE("a process without a known memory limit never sheds load") {
   LoadShedding shedding(0);
   CHECK_FALSE(shedding.note(size_t{1} << 50));
   CHECK_FALSE(shedding.isShedding());
   CHECK(shedding.level(size_t{1} << 50) == MemoryLevel::kBelow);
 }
 
-TEST_CASE("whatever the memory does, it is refused above the marks and taken below them") {
+TEST_CASE("load is always shed above the high-water mark and never below the low one") {
   std::mt19937_64 random(35);
   for (int run = 0; run < 200; ++run) {
     LoadShedding shedding(kSmallMachine);
@@ -60,7 +60,7 @@
   }
 }
 
-TEST_CASE("the memory is looked at several times while a full link could fill what is left") {
+TEST_CASE("memory is sampled at least twice while a full link could fill the reserve") {
   for (const double link : {10.0, 100.0, 1000.0}) {
     for (const size_t limit : {kSmallMachine, 260 * kMegabyte}) {
       const double perLook = link * 125000 * toSeconds(memoryLookInterval(limit, link));
@@ -70,7 +70,7 @@
   CHECK(memoryLookInterval(0, 10) == memoryLookInterval(kSmallMachine, 0));
 }
 
-TEST_CASE("what has arrived and is not read is allowed for by the requests under way") {
+TEST_CASE("received but unread bytes are reserved for by the number of requests in progress") {
   CHECK(unreadReserve(0) == 0);
   CHECK(unreadReserve(1500) > 1500 * 4096);
   CHECK(unreadReserve(1500) < kSmallMachine / 5);
--- a/test/gateway/part_memory_test.cpp
+++ b/test/gateway/part_memory_test.cpp
@@ -6,7 +6,7 @@
 
 namespace fernmoor::gateway {
 
-TEST_CASE("hints are bounded and the ones unused the longest are forgotten") {
+TEST_CASE("hints are bounded and the least recently used ones are evicted") {
   PartMemory memory(2);
   const Time now(std::chrono::seconds(1));
   memory.note(1, 11, true, now);
@@ -20,7 +20,7 @@
   CHECK(memory.find(1).storedAt == now);
 }
 
-TEST_CASE("parts of different scopes are different parts") {
+TEST_CASE("the key of a part depends on its scope") {
   CHECK(partKeyOf("a", "x") != partKeyOf("b", "x"));
   CHECK(partKeyOf("a", "x") == partKeyOf("a", "x"));
 }
--- a/test/gateway/part_source_test.cpp
+++ b/test/gateway/part_source_test.cpp
@@ -30,7 +30,7 @@
   constexpr std::chrono::seconds kAWhile(3);
   constexpr std::chrono::minutes kLongAgo(1);
 
-  SUBCASE("with an engine that read them a moment ago") {
+  SUBCASE("with an engine that read them 300 ms ago") {
     SUBCASE("that engine is the source, and what the store holds is not saved again") {
       const PartTransfer transfer = planTransfer({hint(kRecent, kAWhile), hint(kRecent, kAWhile)},
                                                  {kStore, kEngine}, false, kNow);
@@ -109,7 +109,7 @@
       CHECK(keeperOf(prompt, stores) == keeperOf(prompt, reversed));
     }
   }
-  SUBCASE("a store that goes moves only the prompts that it kept") {
+  SUBCASE("removing a store moves only the prompts that it kept") {
     const std::vector<CacheStore> fewer(stores.begin(), stores.end() - 1);
     for (size_t prompt = 0; prompt < kPrompts; ++prompt) {
       if (keeperOf(prompt, stores) != stores.back().address) {
@@ -117,7 +117,7 @@
       }
     }
   }
-  SUBCASE("without a store there is none") {
+  SUBCASE("no store is chosen if there is none") {
     CHECK_FALSE(storeOf(partKeyOf("shared.v1", "1"), {}));
   }
 }
--- a/test/gateway/pending_work_test.cpp
+++ b/test/gateway/pending_work_test.cpp
@@ -18,7 +18,7 @@
 
 }  // namespace
 
-TEST_CASE("requests are counted at an engine until its bound waits there") {
+TEST_CASE("requests are granted at an engine until its pending tokens exceed the bound") {
   PendingWork work;
   const LoadAnswer first = work.reserve(7, requestOf(1, 1, 9000), kNoRoomKnown, kBound, kStart);
   CHECK(first.isGranted);
@@ -30,7 +30,7 @@
   CHECK(work.reserve(8, requestOf(3, 2, 9000), kNoRoomKnown, kBound, kStart).isGranted);
 }
 
-TEST_CASE("a release takes off the very request of that owner") {
+TEST_CASE("a release removes only the request with that owner and id") {
   PendingWork work;
   work.reserve(7, requestOf(1, 5, 9000), kNoRoomKnown, kBound, kStart);
   work.reserve(7, requestOf(2, 5, 4000), kNoRoomKnown, kBound, kStart);
@@ -40,8 +40,7 @@
   CHECK(work.reserve(7, requestOf(3, 1, 1), kNoRoomKnown, kBound, kStart).pendingTokens == 4000);
 }
 
-TEST_CASE(
-    "a request whose end is never told is forgotten, and an engine without any takes no room") {
+TEST_CASE("a request that is never released expires, and an engine without requests is removed") {
   PendingWork work;
   work.reserve(7, requestOf(1, 1, 20000), kNoRoomKnown, kBound, kStart);
   CHECK_FALSE(work.reserve(7, requestOf(1, 2, 1), kNoRoomKnown, kBound, kStart).isGranted);
@@ -51,7 +50,7 @@
   CHECK(work.size() == 0);
 }
 
-TEST_CASE("what a node had counted is forgotten when it starts anew") {
+TEST_CASE("the requests of a node are removed when it restarts") {
   PendingWork work;
   work.reserve(7, requestOf(1, 1, 9000), kNoRoomKnown, kBound, kStart);
   work.reserve(7, requestOf(2, 1, 4000), kNoRoomKnown, kBound, kStart);
@@ -62,7 +61,7 @@
 TEST_CASE("requests that run keep their places and their memory until they end") {
   PendingWork work;
   const EngineRoom room{4, 50000};
-  SUBCASE("a newcomer waits for a place") {
+  SUBCASE("a new request waits for a place") {
     for (uint32_t id = 1; id <= 4; ++id) {
       CHECK(work.reserve(7, requestOf(1, id, 1000), room, kBound, kStart).isGranted);
       work.promptRead(7, 1, id, kStart + Duration(30000));
@@ -74,7 +73,7 @@
     work.release(7, 1, 2, later);
     CHECK(work.reserve(7, requestOf(1, 6, 1000), room, 1000, later).isGranted);
   }
-  SUBCASE("or for memory") {
+  SUBCASE("a new request waits for memory") {
     work.reserve(7, requestOf(1, 1, 45000), room, kBound, kStart);
     work.promptRead(7, 1, 1, kStart + Duration(30000));
     const Time later = kStart + Duration(100000);
@@ -84,7 +83,7 @@
   }
 }
 
-TEST_CASE("how quickly an engine gets through its prompts is observed") {
+TEST_CASE("the rate at which an engine reads prompts is measured") {
   PendingWork slow;
   PendingWork quick;
   Time now = kStart;
@@ -106,7 +105,7 @@
   CHECK(quickAnswer.expectedReading(9000) < Duration(130000));
 }
 
-TEST_CASE("an engine at which nothing moves is told, once what waits there should have begun") {
+TEST_CASE("an engine is reported as stalled once its pending requests should have begun") {
   PendingWork work;
   work.reserve(7, requestOf(1, 1, 9000), kNoRoomKnown, kBound, kStart);
   const auto isStalled = [&](Duration after, uint32_t id) {
@@ -117,7 +116,7 @@
   };
   CHECK_FALSE(isStalled(Duration(300000), 2));
   CHECK(isStalled(Duration(1500000), 3));
-  SUBCASE("and taken back with the first request that it begins") {
+  SUBCASE("the first request that begins ends the stall") {
     work.reserve(7, requestOf(2, 1, 900), kNoRoomKnown, kBound, kStart + Duration(200000));
     work.promptRead(7, 2, 1, kStart + Duration(1600000));
     CHECK_FALSE(isStalled(Duration(1700000), 4));
--- a/test/gateway/source_experience_test.cpp
+++ b/test/gateway/source_experience_test.cpp
@@ -24,22 +24,22 @@
   Time now{std::chrono::seconds(1000)};
   note(experience, PartSource::kEngine, kFromEngine, now);
 
-  SUBCASE("not before it was seen to be") {
+  SUBCASE("not after a single slow fetch") {
     CHECK_FALSE(experience.isStoreSlow(now));
     experience.note(PartSource::kStore, kPrompt, std::chrono::seconds(2), now);
     CHECK_FALSE(experience.isStoreSlow(now));
   }
-  SUBCASE("not for the time that its link takes when nobody waits") {
+  SUBCASE("not at the latency of an idle link") {
     note(experience, PartSource::kStore, std::chrono::milliseconds(235), now);
     CHECK_FALSE(experience.isStoreSlow(now));
   }
-  SUBCASE("while parts wait there") {
+  SUBCASE("while fetches from it are slow") {
     note(experience, PartSource::kStore, std::chrono::milliseconds(700), now);
     CHECK(experience.isStoreSlow(now));
-    SUBCASE("until that was a while ago, so that it is tried again") {
+    SUBCASE("not 20 s after the last slow fetch, so that it is retried") {
       CHECK_FALSE(experience.isStoreSlow(now + std::chrono::seconds(20)));
     }
-    SUBCASE("but not on account of parts that may have been read") {
+    SUBCASE("not after slow fetches from an uncertain source") {
       SourceExperience other;
       note(other, PartSource::kEngine, kFromEngine, now);
       note(other, PartSource::kUncertain, std::chrono::milliseconds(700), now);
--- a/test/gateway/stated_limits_test.cpp
+++ b/test/gateway/stated_limits_test.cpp
@@ -21,7 +21,7 @@
 
 }  // namespace
 
-TEST_CASE("of answers that overtake each other the one to the later request counts") {
+TEST_CASE("of answers that arrive out of order, the one to the later request applies") {
   StatedLimits limits;
   CHECK(limits.note(kEngine, stated(std::nullopt, 0, 10)) == LimitChange::kNone);
   CHECK(limits.note(kEngine, stated(1.4, 100, 120)) == LimitChange::kNamed);
@@ -34,15 +34,15 @@
   SUBCASE("an answer to a request sent after it was known ends it") {
     CHECK(limits.note(kEngine, stated(std::nullopt, 120, 150)) == LimitChange::kEnded);
     CHECK_FALSE(limits.rateOf(kEngine).has_value());
-    SUBCASE("and an older one does not bring it back") {
+    SUBCASE("an older answer does not restore the limit") {
       CHECK(limits.note(kEngine, stated(1.4, 60, 119)) == LimitChange::kNone);
       CHECK(limits.count() == 0);
     }
-    SUBCASE("and a newer one does") {
+    SUBCASE("a newer answer states the limit again") {
       CHECK(limits.note(kEngine, stated(1.4, 160, 170)) == LimitChange::kNamed);
     }
   }
-  SUBCASE("where their order can't be told the lower limit counts") {
+  SUBCASE("the lower limit applies if the order of answers is unknown") {
     CHECK(limits.note(kEngine, stated(10.0, 90, 140)) == LimitChange::kNone);
     CHECK(limits.note(kEngine, stated(0.5, 90, 140)) == LimitChange::kChanged);
     CHECK(limits.rateOf(kEngine) == 0.5);
@@ -54,7 +54,7 @@
   }
 }
 
-TEST_CASE("what is known of the next permit ends with its limit") {
+TEST_CASE("the known time of the next permit is discarded when the limit changes") {
   StatedLimits limits;
   CHECK_FALSE(limits.permitDue(kEngine, at(0)).has_value());
   limits.note(kEngine, stated(1.0, 0, 10));
@@ -65,7 +65,7 @@
   CHECK((limits.permitDue(kEngine, at(220)) == Duration(0)));
 }
 
-TEST_CASE("without an answer a node uses half of its part of the limit") {
+TEST_CASE("without an answer a node uses half of its share of the limit") {
   StatedLimits limits;
   CHECK(limits.takeUnasked(kEngine, 5, at(0)));
   limits.note(kEngine, stated(2.0, 0, 10));
@@ -76,7 +76,7 @@
   CHECK(passed == 4);
 }
 
-TEST_CASE("a back end that takes nothing is tried once in four seconds") {
+TEST_CASE("a back end with a limit of zero is permitted one request in four seconds") {
   CHECK(permittedRate(0) == 0.25);
   CHECK(permittedRate(1.4) == 1.4);
 }
@@ -88,13 +88,13 @@
   limits.note(kEngine, stated(1.0, 0, 10));
   limits.forgetOld(isListed, at(100000));
   CHECK(limits.count() == 1);
-  SUBCASE("with its back end") {
+  SUBCASE("a limit whose back end is no longer listed") {
     limits.forgetOld(isNotListed, at(20000));
     CHECK(limits.count() == 1);
     limits.forgetOld(isNotListed, at(40000));
     CHECK(limits.engines().empty());
   }
-  SUBCASE("when it ended") {
+  SUBCASE("a limit that ended") {
     limits.note(kEngine, stated(std::nullopt, 100, 110));
     limits.forgetOld(isListed, at(9000));
     CHECK(limits.engines().size() == 1);
--- a/test/gateway/table_in_force_test.cpp
+++ b/test/gateway/table_in_force_test.cpp
@@ -20,7 +20,7 @@
 
 }  // namespace
 
-TEST_CASE("versions never go back, and an older answer proves nothing") {
+TEST_CASE("an older version neither replaces the table nor confirms it") {
   TableInForce inForce;
   CHECK_FALSE(inForce.view().isFresh(at(0), std::chrono::seconds(1)));
   CHECK(inForce.take(version(7), at(100)));
@@ -29,7 +29,7 @@
   CHECK(inForce.view().confirmedAt == at(100));
 }
 
-TEST_CASE("a table is as fresh as the start of the newest question that it answered") {
+TEST_CASE("a table is fresh from the start of the latest query that confirmed it") {
   TableInForce inForce;
   inForce.take(version(7), at(100));
   inForce.confirm(7, at(400));
@@ -41,7 +41,7 @@
   CHECK_FALSE(inForce.view().isFresh(at(1401), std::chrono::seconds(1)));
 }
 
-TEST_CASE("a slow answer with a new version does not make the proof older") {
+TEST_CASE("a slow answer with a new version does not move the confirmation time back") {
   TableInForce inForce;
   inForce.take(version(7), at(500));
   inForce.take(version(8), at(450));
--- a/test/gateway/traffic_table_test.cpp
+++ b/test/gateway/traffic_table_test.cpp
@@ -41,7 +41,7 @@
   CHECK(nameOf(table.findRow("a.example", "")) == "none");
 }
 
-TEST_CASE("a key speaks for its tenant and for nobody else") {
+TEST_CASE("a key identifies only its own tenant") {
   TrafficTable table;
   table.addTenant(Tenant{"sese", true, 1}, {"k1", "k2"});
   CHECK(table.findTenant("k2")->name == "sese");
@@ -49,7 +49,7 @@
   CHECK(table.findTenant("") == nullptr);
 }
 
-TEST_CASE("a row's requests are shared among its pools by weight at every moment") {
+TEST_CASE("a row's requests are distributed among its pools by weight in every ten requests") {
   Row split = row("split", "a", "/");
   split.pools = {WeightedPool{"big", 9}, WeightedPool{"small", 1}, WeightedPool{"off", 0}};
   PoolSelector selector;
--- a/test/gateway/work_state_test.cpp
+++ b/test/gateway/work_state_test.cpp
@@ -16,7 +16,7 @@
 
 }  // namespace
 
-TEST_CASE("a stopping process refuses what could outlast it and ends when all is answered") {
+TEST_CASE("a stopping process rejects late requests and ends when all are answered or time is up") {
   WorkState state(StopTimes{std::chrono::milliseconds(3200), std::chrono::milliseconds(2850),
                             std::chrono::milliseconds(7750)});
   CHECK(state.takesWork(at(1000)));
