--- a/test/gateway/engine_permits_test.cpp
+++ b/test/gateway/engine_permits_test.cpp
@@ -63,17 +63,17 @@
 TEST_CASE(
     "a request takes the next permit within its longest wait, and later requests wait longer") {
   EnginePermits permits;
-  const Duration patience = std::chrono::milliseconds(300);
+  const Duration longestWait = std::chrono::milliseconds(300);
   permits.take(kEngine, 5.0, Duration(0), at(0));
-  const PermitOffer first = permits.take(kEngine, 5.0, patience, at(0));
+  const PermitOffer first = permits.take(kEngine, 5.0, longestWait, at(0));
   CHECK(first.isTaken);
   CHECK((first.wait == std::chrono::milliseconds(200)));
-  const PermitOffer second = permits.take(kEngine, 5.0, patience, at(0));
+  const PermitOffer second = permits.take(kEngine, 5.0, longestWait, at(0));
   CHECK_FALSE(second.isTaken);
   CHECK((second.wait == std::chrono::milliseconds(400)));
   SUBCASE("a returned permit is available again") {
     permits.giveBack(kEngine, at(100));
-    CHECK(permits.take(kEngine, 5.0, patience, at(100)).isTaken);
+    CHECK(permits.take(kEngine, 5.0, longestWait, at(100)).isTaken);
   }
 }
 
--- a/test/gateway/forwarder_cache_test.cpp
+++ b/test/gateway/forwarder_cache_test.cpp
@@ -86,9 +86,9 @@
   CacheWorld world;
   ScriptedBackend& first = world.addEngine("a", 3);
   world.forwarder.serve(world.prompt(), world.caller);
-  BackendListing left = world.backends.all().front();
-  left.pool = "left the pool";
-  world.backends.update(left, world.clock.now());
+  BackendListing removed = world.backends.all().front();
+  removed.pool = "left the pool";
+  world.backends.update(removed, world.clock.now());
   ScriptedBackend& second = world.addEngine("b", 3);
   world.forwarder.serve(world.prompt(), world.caller);
   CHECK(holdsText(second.lastRequest(), "Fetch-From: 10.9.9.9:99\r\n"));
@@ -186,7 +186,7 @@
   CHECK(engine.requests() == 1);
 }
 
-TEST_CASE("the silence limit of an engine follows its expected time") {
+TEST_CASE("an engine may be silent for three times its expected time before a request is retried") {
   CacheWorld world;
   world.row.repetition = Repetition::kRepeatable;
   world.row.target = std::chrono::seconds(10);
--- a/test/gateway/forwarder_limit_test.cpp
+++ b/test/gateway/forwarder_limit_test.cpp
@@ -45,8 +45,7 @@
   CHECK(world.caller.finished);
 }
 
-TEST_CASE(
-    "a request that can't get a permit in time is refused at once with the time of the next one") {
+TEST_CASE("a request that cannot get a permit in time is refused with the time of the next one") {
   ForwarderWorld world;
   ScriptedBackend& backend = world.add("a", always(kAnswer));
   world.row.target = std::chrono::seconds(1);
@@ -76,15 +75,17 @@
     CHECK(promisesNotRun(world.caller));
   }
   SUBCASE("the second-send budget is exhausted") {
-    ForwarderWorld poor(0);
-    poor.row.target = std::chrono::seconds(1);
-    poor.row.repetition = Repetition::kRepeatable;
-    poor.loads.permitWait = Duration(0);
-    poor.add("a", always(answer("503 Service Unavailable", "", "Id: r1\r\nNot-Run: yes\r\n")));
-    poor.add("b", always(answer("503 Service Unavailable", "", "Id: r1\r\nNot-Run: yes\r\n")));
-    poor.serve();
-    CHECK(promisesNotRun(poor.caller));
-    CHECK(poor.loads.permits == 1);
+    ForwarderWorld withoutBudget(0);
+    withoutBudget.row.target = std::chrono::seconds(1);
+    withoutBudget.row.repetition = Repetition::kRepeatable;
+    withoutBudget.loads.permitWait = Duration(0);
+    withoutBudget.add("a",
+                      always(answer("503 Service Unavailable", "", "Id: r1\r\nNot-Run: yes\r\n")));
+    withoutBudget.add("b",
+                      always(answer("503 Service Unavailable", "", "Id: r1\r\nNot-Run: yes\r\n")));
+    withoutBudget.serve();
+    CHECK(promisesNotRun(withoutBudget.caller));
+    CHECK(withoutBudget.loads.permits == 1);
   }
   CHECK(world.loads.permits == 0);
 }
@@ -128,8 +129,8 @@
 
 TEST_CASE("a back end that asks for rest is not avoided as failed; its rest is reported") {
   ForwarderWorld world;
-  const std::string away = answer("503 Away", "", "Id: r1\r\nNot-Run: 1\r\nRest: 3000\r\n");
-  ScriptedBackend& resting = world.add("a", always(away));
+  const std::string restAnswer = answer("503 Away", "", "Id: r1\r\nNot-Run: 1\r\nRest: 3000\r\n");
+  ScriptedBackend& resting = world.add("a", always(restAnswer));
   ScriptedBackend& other = world.add("b", always(kAnswer));
   for (int request = 0; request < 8; ++request) {
     world.serve();
@@ -154,7 +155,8 @@
   CHECK(backend.requests() == 0);
 }
 
-TEST_CASE("a request that waits for its permit is not sent to a back end that leaves meanwhile") {
+TEST_CASE(
+    "a request is not sent to a back end that leaves while the request waits for its permit") {
   ForwarderWorld world;
   ScriptedBackend& backend = world.add("a", always(kAnswer));
   world.row.target = std::chrono::seconds(1);
--- a/test/gateway/forwarder_quarantine_test.cpp
+++ b/test/gateway/forwarder_quarantine_test.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-void breakOff(Poco::Net::StreamSocket& socket) {
+void resetConnection(Poco::Net::StreamSocket& socket) {
   socket.setLinger(true, 0);
   socket.close();
 }
@@ -22,7 +22,7 @@
   const size_t place = world.scripted.size();
   world.add(id, [&world, place](Poco::Net::StreamSocket& socket, const std::string&) {
     world.scripted[place]->stopListening();
-    breakOff(socket);
+    resetConnection(socket);
     return false;
   });
 }
@@ -72,7 +72,7 @@
   CHECK(fingerprintOf(request) != first);
 }
 
-TEST_CASE("a crash is recorded only if the back end's process ended during the run") {
+TEST_CASE("a crash is recorded only if the back end's process ended unannounced") {
   ForwarderWorld world;
   SUBCASE("the process has ended") {
     addCrashing(world, "a");
@@ -87,7 +87,7 @@
       leaving.isDraining = true;
       world.backends.update(leaving, world.clock.now());
       world.scripted[1]->stopListening();
-      breakOff(socket);
+      resetConnection(socket);
       return false;
     });
     world.backends.remove("a");
@@ -103,7 +103,7 @@
             say(socket, answer("200 OK", "x"));
             return true;
           }
-          breakOff(socket);
+          resetConnection(socket);
           return false;
         });
     world.serve();
--- a/test/gateway/forwarder_test.cpp
+++ b/test/gateway/forwarder_test.cpp
@@ -16,7 +16,7 @@
 using namespace test;  // NOLINT(google-build-using-namespace)
 
 /// Sends bytes and resets the connection.
-Script thenReset(const std::string& bytes) {
+Script sendThenReset(const std::string& bytes) {
   return [=](Poco::Net::StreamSocket& socket, const std::string&) {
     if (!bytes.empty()) {
       say(socket, bytes);
@@ -28,7 +28,7 @@
   };
 }
 
-/// Stays silent for three times the silence limit of a repeatable request.
+/// Answers after `times` times three silence limits of a repeatable request.
 Script answersAfterSilence(int times) {
   return [=](Poco::Net::StreamSocket& socket, const std::string&) {
     std::this_thread::sleep_for(kSilence * 3 * times);
@@ -46,7 +46,7 @@
 }
 
 /// Checks for an error answer of the gateway that does not state that the request has not run.
-bool promisesNothing(const RecordingCaller& caller) {
+bool statesOutcomeUnknown(const RecordingCaller& caller) {
   return caller.refusals.size() == 1 && caller.refusals[0].runState == RunState::kUnknown &&
          caller.refusals[0].kind == ErrorKind::kOutcomeUnknown;
 }
@@ -87,25 +87,25 @@
   world.add("b", always(answer("200 OK", "somebody else's", "Id: r0\r\n")));
   world.serve();
   CHECK(world.caller.heads.empty());
-  CHECK(promisesNothing(world.caller));
+  CHECK(statesOutcomeUnknown(world.caller));
   CHECK(requestsOf(world) == 1);
 }
 
 TEST_CASE("a request that may run once is not sent again after a reset") {
   ForwarderWorld world;
-  world.add("a", thenReset(""));
-  world.add("b", thenReset(""));
+  world.add("a", sendThenReset(""));
+  world.add("b", sendThenReset(""));
   world.serve();
   CHECK(requestsOf(world) == 1);
-  CHECK(promisesNothing(world.caller));
+  CHECK(statesOutcomeUnknown(world.caller));
 }
 
 TEST_CASE("answers are buffered until complete only while the buffer budget has room") {
   const std::string begun = "HTTP/1.1 200 OK\r\nId: r1\r\nContent-Length: 100\r\n\r\nbegun";
   ForwarderWorld world;
   world.row.repetition = Repetition::kRepeatable;
-  world.add("a", thenReset(begun));
-  world.add("b", thenReset(begun));
+  world.add("a", sendThenReset(begun));
+  world.add("b", sendThenReset(begun));
   SUBCASE("with room, a truncated answer does not reach the caller") {
     world.serve();
     CHECK(world.caller.body.empty());
@@ -171,11 +171,11 @@
   ForwarderWorld world;
   world.row.repetition = Repetition::kRepeatable;
   for (const char* id : {"a", "b", "c"}) {
-    world.add(id, thenReset(""));
+    world.add(id, sendThenReset(""));
   }
   world.serve();
   CHECK(requestsOf(world) == 2);
-  CHECK(promisesNothing(world.caller));
+  CHECK(statesOutcomeUnknown(world.caller));
 }
 
 TEST_CASE("a request that a back end states not to have run is sent to another") {
@@ -315,19 +315,19 @@
         std::string("garbage that is no answer\r\n\r\n")}) {
     CAPTURE(partial);
     ForwarderWorld world;
-    world.add("a", thenReset(partial));
+    world.add("a", sendThenReset(partial));
     world.serve();
     CHECK(world.caller.heads.empty());
     CHECK_FALSE(world.caller.finished);
-    CHECK(promisesNothing(world.caller));
+    CHECK(statesOutcomeUnknown(world.caller));
   }
 }
 
 TEST_CASE("a truncated stream that is not resumable is aborted for the caller") {
   ForwarderWorld world;
   world.row.isStream = true;
-  world.add("a", thenReset(streamHead() + chunk(event(1) + "id: 2\ndata: ha")));
-  world.add("b", thenReset(streamHead() + chunk(event(1))));
+  world.add("a", sendThenReset(streamHead() + chunk(event(1) + "id: 2\ndata: ha")));
+  world.add("b", sendThenReset(streamHead() + chunk(event(1))));
   world.serve();
   CHECK(requestsOf(world) == 1);
   CHECK(world.caller.body == event(1));
@@ -343,8 +343,8 @@
   std::string second;
   const Script script = [&](Poco::Net::StreamSocket& socket, const std::string& request) {
     if (turn++ == 0) {
-      return thenReset(streamHead() + chunk(event(1) + event(2) + "id: 3\ndata: ha"))(socket,
-                                                                                      request);
+      return sendThenReset(streamHead() + chunk(event(1) + event(2) + "id: 3\ndata: ha"))(socket,
+                                                                                          request);
     }
     second = request;
     say(socket, streamHead() + chunk(event(3)) + chunk(event(4)) + "0\r\n\r\n");
@@ -370,7 +370,7 @@
       say(socket, answer("500 Oops", "failed"));
       return true;
     }
-    return thenReset(streamHead() + chunk(event(1)))(socket, request);
+    return sendThenReset(streamHead() + chunk(event(1)))(socket, request);
   };
   world.add("a", script);
   world.add("b", script);
--- a/test/gateway/forwarder_world.h
+++ b/test/gateway/forwarder_world.h
@@ -158,9 +158,9 @@
   return text.find(part) != std::string::npos;
 }
 
-/// Headers of no real system: "Id" is echoed, "Not-Run" says that a request did not run, "Limit"
-/// how many the back end takes a second, "Leaves" that it leaves, "Rest" for how many ms it wants
-/// nothing.
+/// A protocol with headers for tests only. "Id" echoes the request's id, "Not-Run" states that a
+/// request did not run, "Limit" is the number of requests that the back end takes a second,
+/// "Leaves" states that it leaves, and "Rest" is the number of ms for which it takes no requests.
 class TestProtocol : public BackendProtocol {
  public:
   void addHeaders(const IncomingRequest& request, const SendPlan& plan, Duration timeLeft,
--- a/test/gateway/limited_choice_test.cpp
+++ b/test/gateway/limited_choice_test.cpp
@@ -147,8 +147,7 @@
 }
 
 TEST_CASE(
-    "an engine with a limit that nobody answers for gets this node's part, where no other is "
-    "left") {
+    "engines with a limit use this node's share of it if no node answers and no other is left") {
   Fixture fixture;
   fixture.candidates.resize(2);
   for (const BackendView& each : fixture.candidates) {
--- a/test/gateway/part_source_test.cpp
+++ b/test/gateway/part_source_test.cpp
@@ -89,14 +89,14 @@
   const std::vector<CacheStore> stores = {CacheStore{SocketAddress{"10.0.0.1", 1}},
                                           CacheStore{SocketAddress{"10.0.0.2", 1}},
                                           CacheStore{SocketAddress{"10.0.0.3", 1}}};
-  const auto keeperOf = [](size_t prompt, const std::vector<CacheStore>& among) {
+  const auto storeOfPrompt = [](size_t prompt, const std::vector<CacheStore>& among) {
     return *storeOf(partKeyOf("shared.v1", std::to_string(prompt)), among);
   };
 
   SUBCASE("each store keeps its share of them") {
     std::map<std::string, size_t> kept;
     for (size_t prompt = 0; prompt < kPrompts; ++prompt) {
-      ++kept[keeperOf(prompt, stores).host];
+      ++kept[storeOfPrompt(prompt, stores).host];
     }
     REQUIRE(kept.size() == stores.size());
     for (const auto& [host, count] : kept) {
@@ -106,14 +106,14 @@
   SUBCASE("a node that reads the stores in another order finds the same one") {
     const std::vector<CacheStore> reversed(stores.rbegin(), stores.rend());
     for (size_t prompt = 0; prompt < kPrompts; ++prompt) {
-      CHECK(keeperOf(prompt, stores) == keeperOf(prompt, reversed));
+      CHECK(storeOfPrompt(prompt, stores) == storeOfPrompt(prompt, reversed));
     }
   }
   SUBCASE("removing a store moves only the prompts that it kept") {
     const std::vector<CacheStore> fewer(stores.begin(), stores.end() - 1);
     for (size_t prompt = 0; prompt < kPrompts; ++prompt) {
-      if (keeperOf(prompt, stores) != stores.back().address) {
-        CHECK(keeperOf(prompt, stores) == keeperOf(prompt, fewer));
+      if (storeOfPrompt(prompt, stores) != stores.back().address) {
+        CHECK(storeOfPrompt(prompt, stores) == storeOfPrompt(prompt, fewer));
       }
     }
   }
