--- a/test/gateway/part_source_test.cpp
+++ b/test/gateway/part_source_test.cpp
@@ -25,7 +25,7 @@
 
 }  // namespace
 
-TEST_CASE("where a request's shared parts come from and go to") {
+TEST_CASE("the source of a request's shared parts and the store that they are saved to") {
   constexpr std::chrono::milliseconds kRecent(300);
   constexpr std::chrono::seconds kAWhile(3);
   constexpr std::chrono::minutes kLongAgo(1);
@@ -64,7 +64,7 @@
     }
   }
   SUBCASE("while the store is slow") {
-    SUBCASE("an engine that may have dropped them is asked all the same") {
+    SUBCASE("an engine that may have dropped them is still the source") {
       const PartTransfer transfer =
           planTransfer({hint(kAWhile, kAWhile)}, {kStore, kEngine}, true, kNow);
       CHECK(transfer.fetchFrom == kEngine);
@@ -84,7 +84,7 @@
   }
 }
 
-TEST_CASE("which store keeps a prompt, where there are several") {
+TEST_CASE("the choice of a store for a prompt") {
   constexpr size_t kPrompts = 600;
   const std::vector<CacheStore> stores = {CacheStore{SocketAddress{"10.0.0.1", 1}},
                                           CacheStore{SocketAddress{"10.0.0.2", 1}},
