--- a/test/gateway/forwarder_limit_test.cpp
+++ b/test/gateway/forwarder_limit_test.cpp
@@ -20,7 +20,7 @@
 
 }  // namespace
 
-TEST_CASE("what an answer states of its back end's limit is told, with when its request was sent") {
+TEST_CASE("a limit stated in an answer is reported with the send time of its request") {
   ForwarderWorld world;
   world.add("a", always(answer("200 OK", "body", "Id: r1\r\nSigned: yes\r\nLimit: 1.4\r\n")));
   const Time before = world.clock.now();
@@ -45,8 +45,7 @@
   CHECK(world.caller.finished);
 }
 
-TEST_CASE(
-    "a request that can't get a permit in time is refused at once with the time of the next one") {
+TEST_CASE("a request that cannot get a permit in time is refused with the time of the next one") {
   ForwarderWorld world;
   ScriptedBackend& backend = world.add("a", always(kAnswer));
   world.row.target = std::chrono::seconds(1);
@@ -58,38 +57,40 @@
   CHECK(world.loads.permits == 0);
 }
 
-TEST_CASE("a permit goes back whose request is not sent") {
+TEST_CASE("the permit of a request that is not sent is returned") {
   ForwarderWorld world;
   world.row.target = std::chrono::seconds(1);
   world.loads.permitWait = kWait;
-  SUBCASE("as its caller left while it waited") {
+  SUBCASE("the caller disconnects during the wait") {
     ScriptedBackend& backend = world.add("a", always(kAnswer));
     world.caller.socket.farCloses();
     world.serve();
     CHECK(backend.requests() == 0);
     CHECK(world.caller.refusals.empty());
   }
-  SUBCASE("as its engine can't be reached") {
+  SUBCASE("the engine accepts no connection") {
     ScriptedBackend& backend = world.add("a", always(kAnswer));
     backend.stopListening();
     world.serve();
     CHECK(promisesNotRun(world.caller));
   }
-  SUBCASE("as no second send is paid for") {
-    ForwarderWorld poor(0);
-    poor.row.target = std::chrono::seconds(1);
-    poor.row.repetition = Repetition::kRepeatable;
-    poor.loads.permitWait = Duration(0);
-    poor.add("a", always(answer("503 Service Unavailable", "", "Id: r1\r\nNot-Run: yes\r\n")));
-    poor.add("b", always(answer("503 Service Unavailable", "", "Id: r1\r\nNot-Run: yes\r\n")));
-    poor.serve();
-    CHECK(promisesNotRun(poor.caller));
-    CHECK(poor.loads.permits == 1);
+  SUBCASE("the second-send budget is exhausted") {
+    ForwarderWorld withoutBudget(0);
+    withoutBudget.row.target = std::chrono::seconds(1);
+    withoutBudget.row.repetition = Repetition::kRepeatable;
+    withoutBudget.loads.permitWait = Duration(0);
+    withoutBudget.add("a",
+                      always(answer("503 Service Unavailable", "", "Id: r1\r\nNot-Run: yes\r\n")));
+    withoutBudget.add("b",
+                      always(answer("503 Service Unavailable", "", "Id: r1\r\nNot-Run: yes\r\n")));
+    withoutBudget.serve();
+    CHECK(promisesNotRun(withoutBudget.caller));
+    CHECK(withoutBudget.loads.permits == 1);
   }
   CHECK(world.loads.permits == 0);
 }
 
-TEST_CASE("a request beyond its tenant's limit is refused before any back end is asked") {
+TEST_CASE("a tenant's limit is applied before a back end is chosen") {
   ForwarderWorld world;
   ScriptedBackend& backend = world.add("e1", [](Poco::Net::StreamSocket& socket, const auto&) {
     say(socket, answer("200 OK", "whole"));
@@ -100,7 +101,7 @@
   request.tenant->limits.unit = LimitUnit::kTokens;
   request.tenant->costWithoutTokens = 200;
   request.key = "key";
-  SUBCASE("with the time to come back") {
+  SUBCASE("a request over the limit is refused with a retry time") {
     world.limits.isOver = true;
     world.forwarder.serve(request, world.caller);
     CHECK(backend.requests() == 0);
@@ -108,17 +109,17 @@
     CHECK((world.caller.refusals[0].kind == ErrorKind::kRateLimited));
     CHECK((world.caller.refusals[0].retryAfter == Duration(700000)));
   }
-  SUBCASE("and one that passes counts its prompt and its longest answer") {
+  SUBCASE("a request counts its prompt and its longest answer") {
     request.promptTokens = 1460;
     request.mostAnswerTokens = 80;
     world.forwarder.serve(request, world.caller);
     CHECK(world.limits.counted == 1540);
   }
-  SUBCASE("or the fixed number where it tells none") {
+  SUBCASE("a request without token counts counts the fixed cost") {
     world.forwarder.serve(request, world.caller);
     CHECK(world.limits.counted == 200);
   }
-  SUBCASE("and gets back what it counted where no back end ran it") {
+  SUBCASE("the cost of a request that no back end ran is returned") {
     world.backends.remove("e1");
     world.forwarder.serve(request, world.caller);
     CHECK(world.caller.refusals.size() == 1);
@@ -126,11 +127,10 @@
   }
 }
 
-TEST_CASE(
-    "a back end that asks for rest is no failure: the request runs elsewhere and it is told") {
+TEST_CASE("a back end that asks for rest is not avoided as failed; its rest is reported") {
   ForwarderWorld world;
-  const std::string away = answer("503 Away", "", "Id: r1\r\nNot-Run: 1\r\nRest: 3000\r\n");
-  ScriptedBackend& resting = world.add("a", always(away));
+  const std::string restAnswer = answer("503 Away", "", "Id: r1\r\nNot-Run: 1\r\nRest: 3000\r\n");
+  ScriptedBackend& resting = world.add("a", always(restAnswer));
   ScriptedBackend& other = world.add("b", always(kAnswer));
   for (int request = 0; request < 8; ++request) {
     world.serve();
@@ -144,7 +144,7 @@
   }
 }
 
-TEST_CASE("where all back ends rest a request is refused at once, with the soonest end of a rest") {
+TEST_CASE("a request is refused with the earliest end of a rest if all back ends rest") {
   ForwarderWorld world;
   ScriptedBackend& backend = world.add("a", always(kAnswer));
   const uint64_t engine = incarnationHash(world.backends.all().at(0));
@@ -155,7 +155,8 @@
   CHECK(backend.requests() == 0);
 }
 
-TEST_CASE("a request that waits for its permit is not sent to a back end that leaves meanwhile") {
+TEST_CASE(
+    "a request is not sent to a back end that leaves while the request waits for its permit") {
   ForwarderWorld world;
   ScriptedBackend& backend = world.add("a", always(kAnswer));
   world.row.target = std::chrono::seconds(1);
--- a/test/gateway/part_source_test.cpp
+++ b/test/gateway/part_source_test.cpp
@@ -25,12 +25,12 @@
 
 }  // namespace
 
-TEST_CASE("where a request's shared parts come from and go to") {
+TEST_CASE("the source of a request's shared parts and the store that they are saved to") {
   constexpr std::chrono::milliseconds kRecent(300);
   constexpr std::chrono::seconds kAWhile(3);
   constexpr std::chrono::minutes kLongAgo(1);
 
-  SUBCASE("with an engine that read them a moment ago") {
+  SUBCASE("with an engine that read them 300 ms ago") {
     SUBCASE("that engine is the source, and what the store holds is not saved again") {
       const PartTransfer transfer = planTransfer({hint(kRecent, kAWhile), hint(kRecent, kAWhile)},
                                                  {kStore, kEngine}, false, kNow);
@@ -64,7 +64,7 @@
     }
   }
   SUBCASE("while the store is slow") {
-    SUBCASE("an engine that may have dropped them is asked all the same") {
+    SUBCASE("an engine that may have dropped them is still the source") {
       const PartTransfer transfer =
           planTransfer({hint(kAWhile, kAWhile)}, {kStore, kEngine}, true, kNow);
       CHECK(transfer.fetchFrom == kEngine);
@@ -84,19 +84,19 @@
   }
 }
 
-TEST_CASE("which store keeps a prompt, where there are several") {
+TEST_CASE("the choice of a store for a prompt") {
   constexpr size_t kPrompts = 600;
   const std::vector<CacheStore> stores = {CacheStore{SocketAddress{"10.0.0.1", 1}},
                                           CacheStore{SocketAddress{"10.0.0.2", 1}},
                                           CacheStore{SocketAddress{"10.0.0.3", 1}}};
-  const auto keeperOf = [](size_t prompt, const std::vector<CacheStore>& among) {
+  const auto storeOfPrompt = [](size_t prompt, const std::vector<CacheStore>& among) {
     return *storeOf(partKeyOf("shared.v1", std::to_string(prompt)), among);
   };
 
   SUBCASE("each store keeps its share of them") {
     std::map<std::string, size_t> kept;
     for (size_t prompt = 0; prompt < kPrompts; ++prompt) {
-      ++kept[keeperOf(prompt, stores).host];
+      ++kept[storeOfPrompt(prompt, stores).host];
     }
     REQUIRE(kept.size() == stores.size());
     for (const auto& [host, count] : kept) {
@@ -106,18 +106,18 @@
   SUBCASE("a node that reads the stores in another order finds the same one") {
     const std::vector<CacheStore> reversed(stores.rbegin(), stores.rend());
     for (size_t prompt = 0; prompt < kPrompts; ++prompt) {
-      CHECK(keeperOf(prompt, stores) == keeperOf(prompt, reversed));
+      CHECK(storeOfPrompt(prompt, stores) == storeOfPrompt(prompt, reversed));
     }
   }
-  SUBCASE("a store that goes moves only the prompts that it kept") {
+  SUBCASE("removing a store moves only the prompts that it kept") {
     const std::vector<CacheStore> fewer(stores.begin(), stores.end() - 1);
     for (size_t prompt = 0; prompt < kPrompts; ++prompt) {
-      if (keeperOf(prompt, stores) != stores.back().address) {
-        CHECK(keeperOf(prompt, stores) == keeperOf(prompt, fewer));
+      if (storeOfPrompt(prompt, stores) != stores.back().address) {
+        CHECK(storeOfPrompt(prompt, stores) == storeOfPrompt(prompt, fewer));
       }
     }
   }
-  SUBCASE("without a store there is none") {
+  SUBCASE("no store is chosen if there is none") {
     CHECK_FALSE(storeOf(partKeyOf("shared.v1", "1"), {}));
   }
 }
