--- a/test/platform_soak/judge.py
+++ b/test/platform_soak/judge.py
@@ -186,7 +186,8 @@
 
 
 def calm_since(world, since, until):
-    """Returns the time, `since` or later, from which the store was stable until `until`; None if it was not."""
+    """Returns the time, `since` or later, from which the store was stable until `until`; None if it was not.
+    The store counts as unstable for another CONTACT_SECONDS after each of its faults."""
     for start, end in world["unstable"]:
         if start <= until and end + CONTACT_SECONDS > since:
             if end + CONTACT_SECONDS >= until:
@@ -196,7 +197,7 @@
 
 
 def in_touch(world, node, moment):
-    """Whether no fault hit the node within CONTACT_SECONDS before the moment, so that the bounds apply to it."""
+    """Returns whether no fault hit the node within CONTACT_SECONDS before the moment, so that the bounds apply to it."""
     return not any(start <= moment and end + CONTACT_SECONDS > moment
                    for start, end in world["struck"].get(node, ()))
 
@@ -225,10 +226,10 @@
 
 
 def lost(calls, by_id, world):
-    """A request that a healthy engine ran is answered, also by a stopping process, and so is each request on
-    an open connection, whether it ran or not. Only a killed or frozen process, or a caller that gave up,
-    may leave it without an answer. A request that did not run may also arrive just as a stopping process
-    exits."""
+    """A request that a healthy engine ran gets a response, also from a stopping process, and so does each
+    request on an open connection, whether it ran or not. The exceptions are requests to a process that was
+    killed or frozen, those whose caller gave up, and those that did not run because they arrived just as a
+    stopping process exited."""
     faults = []
     for call in calls:
         if call["status"] is not None or call["gave_up"] or was_killed(call, world):
@@ -249,7 +250,7 @@
 
 
 def met_exit(call, world):
-    """Whether it was sent within END_SECONDS of the exit of a stopping process."""
+    """Returns whether the request was sent within END_SECONDS of the exit of its node's process."""
     return any(abs(call["sent_at"] - moment) <= END_SECONDS
                for moment in world["exits"].get(call["node"], ()))
 
--- a/test/platform_soak/store.py
+++ b/test/platform_soak/store.py
@@ -2,8 +2,8 @@
 and watches. Each node has its own port, so that the store can reject some nodes and serve others.
 Faults: refuse (503), throttle (429), reset, silent, slow, lost (applied but not answered), late (applied
 some time later, not answered). Also, open connections may go silent permanently while new ones work,
-and the store may be restored from a copy some seconds old: its revisions go back and are assigned again,
-a watch from a revision that it lacks gets 410, and all its responses name the next era.
+and the store may be restored from a copy some seconds old: its revisions decrease and are assigned again,
+a watch from a revision that it lacks gets 410, and all its responses carry the next era.
 """
 import collections
 import http.server
@@ -26,10 +26,10 @@
         self.changed = threading.Condition()
         self.revision = 0
         self.era = 1
-        self.oldest = 0    # A watch from an earlier revision gets no history.
+        self.oldest = 0    # A watch from an earlier revision is rejected, as its history is gone.
         self.copies = collections.deque()  # (when, revision, objects)
-        self.objects = {}  # (kind, name) -> object; replaced, never changed
-        self.events = []   # (revision, kind, object, gone)
+        self.objects = {}  # (kind, name) -> object; objects are replaced, never modified
+        self.events = []   # (revision, kind, object, whether it was removed)
         self.faults = {}   # node -> name of the fault
         self.calls = []    # (node, method, path), including rejected ones
         self.silent_since = 0.0  # Connections opened before this time send nothing any more.
@@ -70,12 +70,12 @@
         self.changed.notify_all()
 
     def begin_copies(self):
-        """Makes everything written until now part of every copy."""
+        """Discards older copies, so that restore() never goes back behind what was written until now."""
         with self.changed:
             self.copies = collections.deque([(time.monotonic(), self.revision, self.objects)])
 
     def restore(self, seconds):
-        """Restores a copy of that age. Returns how many revisions were lost."""
+        """Restores the newest copy at least this old, or else the oldest copy. Returns how many revisions were lost."""
         with self.changed:
             then = time.monotonic() - seconds
             older = [copy for copy in self.copies if copy[0] <= then] or [self.copies[0]]
@@ -109,7 +109,7 @@
                 self.changed.wait(left)
 
     def silence_connections(self):
-        """Keeps open connections open but sends nothing on them any more."""
+        """Stops sending on all connections that are open now, without closing them."""
         self.silent_since = time.monotonic()
 
     def forget_history(self):
@@ -137,7 +137,7 @@
             pass  # The node disconnected, or this server closed the connection.
 
     def wait_if_silent(self):
-        """If the connection is silent, waits until the node closes it and raises."""
+        """On a silent connection, waits until the node closes it and then raises ConnectionAbortedError."""
         if self.opened_at >= self.store.silent_since:
             return
         while self.connection.recv(4096):
