--- a/test/platform_soak/engines.py
+++ b/test/platform_soak/engines.py
@@ -77,7 +77,7 @@
             entries.append(dict(entry, at=time.monotonic()))
 
     def crash(self, body, engine):
-        """Returns whether it is the first crash of this incarnation."""
+        """Records a crash caused by a request. Returns whether it is the first crash of this incarnation."""
         with self.lock:
             if engine.crashed:
                 return False
--- a/test/platform_soak/judge.py
+++ b/test/platform_soak/judge.py
@@ -197,7 +197,8 @@
 
 
 def in_touch(world, node, moment):
-    """Returns whether no fault hit the node within CONTACT_SECONDS before the moment, so that the bounds apply to it."""
+    """Returns whether no fault hit the node at the moment or within CONTACT_SECONDS before it, so that the bounds
+    apply to the node."""
     return not any(start <= moment and end + CONTACT_SECONDS > moment
                    for start, end in world["struck"].get(node, ()))
 
--- a/test/platform_soak/soak.py
+++ b/test/platform_soak/soak.py
@@ -56,7 +56,7 @@
 ROW = "row"  # Kind of requests to added rows.
 SLOW_EVENT_SECONDS = 0.5
 CALLER_SECONDS = 6  # A caller gives up without a response for this long.
-# Pause of a poison request's caller after each failure, and the duration of each series.
+# Pause of a poison request's caller after each attempt, and the duration of each series.
 POISON_PAUSE_SECONDS = 0.7
 POISON_SECONDS = (4.0, 9.0)
 # Share of requests that are repeated: one body and path for each of a few subjects.
@@ -626,8 +626,8 @@
             time.sleep(draw.uniform(0.0, 3.0))
 
     def keep_replacing_engines(self, series, seconds):
-        """Separate series: some engines, or all plain ones, leave, and new ones start before or after they
-        announce it."""
+        """Separate series: some engines, or all plain ones, leave and are replaced. A replacement starts after
+        the leaving engine announces its shutdown in responses and before its entry in the store does, if ever."""
         draw = random.Random(f"{self.seed} leaves {series}")
         end = time.monotonic() + seconds
         while time.monotonic() < end:
--- a/test/platform_soak/store.py
+++ b/test/platform_soak/store.py
@@ -75,7 +75,8 @@
             self.copies = collections.deque([(time.monotonic(), self.revision, self.objects)])
 
     def restore(self, seconds):
-        """Restores the newest copy at least this old, or else the oldest copy. Returns how many revisions were lost."""
+        """Restores the newest copy that is at least this old, or else the oldest one. Returns how many revisions
+        were lost."""
         with self.changed:
             then = time.monotonic() - seconds
             older = [copy for copy in self.copies if copy[0] <= then] or [self.copies[0]]
