--- a/src/claim/claim_coordinator.cpp
+++ b/src/claim/claim_coordinator.cpp
@@ -9,8 +9,9 @@
 
 namespace {
 
-/// Releases and completions are sent again ever more rarely, down to this often in their time.
-constexpr int kEndingResends = 8;
+/// Completions and releases are resent with backoff; the longest interval is the release time
+/// divided by this.
+constexpr int kResendsPerReleaseTime = 8;
 
 bool isFinal(proto::ClaimVerdict verdict) {
   return verdict != proto::CLAIM_VERDICT_RECOVERING &&
@@ -31,7 +32,7 @@
   return wallMicrosecondsAtZero_ + now.time_since_epoch().count();
 }
 
-Duration ClaimCoordinator::spreadRetry() {
+Duration ClaimCoordinator::jitteredRetryDelay() {
   return random_.between(knobs_.claimRetryAfter, 2 * knobs_.claimRetryAfter);
 }
 
@@ -56,23 +57,23 @@
 ClaimTicket ClaimCoordinator::begin(const ClaimKey& key, uint64_t digest, Time now,
                                     MessageSender& sender) {
   const ClaimTicket ticket(++lastTicket_);
-  // Three skews: two between the nodes, one that each node allows.
+  // Three times the skew: two between the nodes, one that each node allows.
   if (key.birthMicroseconds > wall(now) + 3 * knobs_.claimClockSkew.count()) {
     resolutions_.push_back({ticket, claimRefusal::bornInFuture(RunState::kNotRun, std::nullopt)});
     return ticket;
   }
   if (const Attempt* active = findActive(key)) {
     const bool sameRequest = active->digest == digest;
-    resolutions_.push_back({ticket, sameRequest ? ClaimOutcome(ClaimBusy{spreadRetry()})
+    resolutions_.push_back({ticket, sameRequest ? ClaimOutcome(ClaimBusy{jitteredRetryDelay()})
                                                 : claimRefusal::keyReused(RunState::kUnknown)});
     return ticket;
   }
   if (configuration_.members.empty()) {
-    resolutions_.push_back({ticket, claimRefusal::noReplicas(spreadRetry())});
+    resolutions_.push_back({ticket, claimRefusal::noReplicas(jitteredRetryDelay())});
     return ticket;
   }
   if (attempts_.size() >= static_cast<size_t>(knobs_.claimMaximumAttempts)) {
-    resolutions_.push_back({ticket, claimRefusal::tooManyClaims(spreadRetry())});
+    resolutions_.push_back({ticket, claimRefusal::tooManyClaims(jitteredRetryDelay())});
     return ticket;
   }
   start(ticket, key, digest, now + knobs_.claimTimeout, now, sender);
@@ -130,7 +131,7 @@
   sendDue(attempt, now, sender);
 }
 
-void ClaimCoordinator::refuse(Attempt& attempt, ClaimOutcome outcome, Time now,
+void ClaimCoordinator::reject(Attempt& attempt, ClaimOutcome outcome, Time now,
                               MessageSender& sender) {
   resolutions_.push_back({attempt.ticket, std::move(outcome)});
   beginRelease(attempt, now, sender);
@@ -142,13 +143,13 @@
   }
   CrashVector known;
   for (const auto& [node, vote] : attempt.votes) {
-    raiseLife(known, NodeLife{node, vote.life});
-    for (const auto& [other, life] : vote.vector) {
-      raiseLife(known, NodeLife{other, life});
+    raiseIncarnation(known, NodeLife{node, vote.incarnation});
+    for (const auto& [other, incarnation] : vote.vector) {
+      raiseIncarnation(known, NodeLife{other, incarnation});
     }
   }
   for (auto vote = attempt.votes.begin(); vote != attempt.votes.end();) {
-    const bool stale = vote->second.life < knownLife(known, vote->first);
+    const bool stale = vote->second.incarnation < knownIncarnation(known, vote->first);
     vote = stale ? attempt.votes.erase(vote) : std::next(vote);
   }
 }
@@ -159,7 +160,7 @@
   size_t against = 0;
   for (const auto& [node, vote] : attempt.votes) {
     if (vote.verdict == proto::CLAIM_VERDICT_COMPLETED) {
-      return refuse(attempt, outcomeOfCompleted(attempt, vote), now, sender);
+      return reject(attempt, outcomeOfCompleted(attempt, vote), now, sender);
     }
     (vote.verdict == proto::CLAIM_VERDICT_GRANTED ? granted : against) += 1;
   }
@@ -171,7 +172,7 @@
   }
   const bool cannotWin = attempt.group.size() - against < needed;
   if (cannotWin || now >= attempt.deadline) {
-    refuse(attempt, outcomeOfLoss(attempt, now), now, sender);
+    reject(attempt, outcomeOfLoss(attempt, now), now, sender);
   }
 }
 
@@ -186,13 +187,13 @@
 }
 
 ClaimOutcome ClaimCoordinator::outcomeOfLoss(const Attempt& attempt, Time now) {
-  size_t never = 0;
+  size_t permanentRejections = 0;
   const Vote* held = nullptr;
   bool full = false;
   bool tooNew = false;
   for (const auto& [node, vote] : attempt.votes) {
     const bool isVoided = vote.verdict == proto::CLAIM_VERDICT_VOIDED;
-    never += isVoided || vote.verdict == proto::CLAIM_VERDICT_TOO_OLD ? 1 : 0;
+    permanentRejections += isVoided || vote.verdict == proto::CLAIM_VERDICT_TOO_OLD ? 1 : 0;
     full = full || vote.verdict == proto::CLAIM_VERDICT_FULL;
     tooNew = tooNew || vote.verdict == proto::CLAIM_VERDICT_TOO_NEW;
     held = vote.verdict == proto::CLAIM_VERDICT_HELD ? &vote : held;
@@ -200,19 +201,20 @@
   if (held != nullptr && held->holderDigest != attempt.digest) {
     return claimRefusal::keyReused(RunState::kUnknown);
   }
-  const bool canNeverWin = attempt.group.size() - never < majorityOf(attempt.group.size());
+  const bool canNeverWin =
+      attempt.group.size() - permanentRejections < majorityOf(attempt.group.size());
   if (canNeverWin || (held != nullptr && held->holderAge > knobs_.claimBusyLimit)) {
     return claimRefusal::outcomeUnknown();
   }
   if (held != nullptr) {
-    return ClaimBusy{spreadRetry()};
+    return ClaimBusy{jitteredRetryDelay()};
   }
   if (tooNew) {
     const Duration early(attempt.key.birthMicroseconds - wall(now));
     return claimRefusal::bornInFuture(RunState::kUnknown, std::max(early, knobs_.claimRetryAfter));
   }
-  return full ? claimRefusal::tooManyClaims(spreadRetry())
-              : claimRefusal::noReplicas(spreadRetry());
+  return full ? claimRefusal::tooManyClaims(jitteredRetryDelay())
+              : claimRefusal::noReplicas(jitteredRetryDelay());
 }
 
 void ClaimCoordinator::onReply(const NodeLife& from, const proto::ClaimReply& reply, Time now,
@@ -227,13 +229,13 @@
     return;
   }
   const auto former = attempt.votes.find(from.node);
-  if (former != attempt.votes.end() && from.incarnation < former->second.life) {
+  if (former != attempt.votes.end() && from.incarnation < former->second.incarnation) {
     return;
   }
   Vote vote;
-  vote.life = from.incarnation;
-  for (const proto::NodeLife& life : reply.crash_vector()) {
-    raiseLife(vote.vector, fromProto(life));
+  vote.incarnation = from.incarnation;
+  for (const proto::NodeLife& identity : reply.crash_vector()) {
+    raiseIncarnation(vote.vector, fromProto(identity));
   }
   vote.verdict = reply.verdict();
   vote.holderDigest = reply.holder_digest();
@@ -290,7 +292,7 @@
     attempt.acknowledged = 0;
   }
   for (const uint64_t number : restarted) {
-    // Votes of two epochs never add up, so the claim starts anew.
+    // Votes of different epochs can't be combined, so the claim is restarted.
     Attempt& old = attempts_[number];
     const ClaimTicket ticket = std::exchange(old.ticket, ClaimTicket());
     const Time deadline = old.deadline;
@@ -313,7 +315,8 @@
   }
 }
 
-void ClaimCoordinator::sendEnd(const Attempt& attempt, MessageSender& sender) const {
+void ClaimCoordinator::sendCompletionOrRelease(const Attempt& attempt,
+                                               MessageSender& sender) const {
   proto::Envelope envelope;
   if (attempt.phase == Phase::kCompleting) {
     proto::ClaimCompletion& completion = *envelope.mutable_claim()->mutable_completion();
@@ -336,10 +339,10 @@
   if (attempt.phase == Phase::kClaiming) {
     sendClaim(attempt, sender);
   } else if (attempt.phase != Phase::kGranted) {
-    sendEnd(attempt, sender);
-    // A dead replica would otherwise cost a message for each attempt and interval.
+    sendCompletionOrRelease(attempt, sender);
+    // Without backoff, a dead replica would cost one message per attempt and interval.
     attempt.resendInterval =
-        std::min(2 * attempt.resendInterval, knobs_.claimReleaseTime / kEndingResends);
+        std::min(2 * attempt.resendInterval, knobs_.claimReleaseTime / kResendsPerReleaseTime);
   }
 }
 
--- a/src/claim/claim_coordinator.h
+++ b/src/claim/claim_coordinator.h
@@ -1,6 +1,7 @@
 /// @file
-/// The dispatching side of not-repeatable requests: wins a majority of a key's replicas before
-/// the request may be dispatched, records its answer, releases what was not dispatched.
+/// The dispatcher side of non-repeatable requests: obtains a majority of the votes of a key's
+/// replicas before the request may be dispatched, records its answer, and releases claims that
+/// were not dispatched.
 #pragma once
 
 #include <cstdint>
@@ -20,7 +21,7 @@
 
 namespace fernmoor {
 
-/// Names one begin() of this coordinator.
+/// Identifies one begin() call of this coordinator.
 using ClaimTicket = NumberId<struct ClaimTicketTag, uint64_t>;
 
 /// The request may be dispatched, once; end with complete() or release().
@@ -35,39 +36,39 @@
 struct ClaimBusy {
   Duration retryAfter;
 };
-/// How a begin() ended. An Error says kNotRun only for keys that no node accepts, and kUnknown
-/// otherwise: a former send of the key may have run. Sending the same key again is always safe.
+/// Result of a begin(). An Error reports kNotRun only for keys that no node accepts, and kUnknown
+/// otherwise: an earlier send of the key may have run. Sending the same key again is always safe.
 using ClaimOutcome = std::variant<ClaimGranted, ClaimRecorded, ClaimBusy, Error>;
 
-/// The end of a begin().
+/// Result of a begin(), with its ticket.
 struct ClaimResolution {
   ClaimTicket ticket;
   ClaimOutcome outcome;
 };
 
-/// The end of a complete().
+/// Result of a complete(), with its ticket.
 struct CompletionResolution {
   ClaimTicket ticket;
-  bool recorded = false;  ///< A majority keeps the answer; else a resend may learn "unknown" only.
+  bool recorded = false;  ///< A majority stores the answer; otherwise a resend may get "unknown".
 };
 
-/// Not thread-safe; ClaimService guards it.
+/// Not thread-safe; ClaimService serializes the calls.
 class ClaimCoordinator : public Role {
  public:
   /// @param wallMicrosecondsAtZero wall clock minus monotonic clock, in microseconds.
-  /// @param seed spreads the times at which callers come back.
+  /// @param seed for the jitter of retry delays.
   ClaimCoordinator(NodeLife self, int64_t wallMicrosecondsAtZero, const Knobs& knobs, uint64_t seed,
                    ClaimRules rules = {});
 
-  /// Starts to claim a key; the end comes by takeResolutions().
+  /// Starts to claim a key; the result is returned by takeResolutions().
   /// @param digest of the request's content (claimDigest()); another one under the same key is a
   /// conflict.
   ClaimTicket begin(const ClaimKey& key, uint64_t digest, Time now, MessageSender& sender);
-  /// Records the answer of a granted request that ran; the end comes by takeCompletions().
+  /// Records the answer of a granted request that ran; the result is returned by takeCompletions().
   void complete(ClaimTicket ticket, const ClaimAnswer& answer, Time now, MessageSender& sender);
-  /// Gives a claim back, granted or not yet. Allowed only if no byte of the request was sent to a
-  /// back end, or the back end confirmed that it did not start. The caller may then be told
-  /// "not run" if the claim had been granted, else "unknown".
+  /// Releases a claim, granted or still pending. Allowed only if no byte of the request was sent to
+  /// a back end, or the back end confirmed that it did not start. The caller may then be told "not
+  /// run" if the claim had been granted, else "unknown".
   void release(ClaimTicket ticket, Time now, MessageSender& sender);
 
   void setGroupConfiguration(const GroupConfiguration& configuration, Time now,
@@ -78,15 +79,15 @@
 
   std::vector<ClaimResolution> takeResolutions();
   std::vector<CompletionResolution> takeCompletions();
-  /// @return attempts that are not ended on all replicas.
+  /// @return attempts that have not ended on all replicas.
   size_t openAttempts() const { return attempts_.size(); }
 
  private:
   enum class Phase { kClaiming, kGranted, kCompleting, kReleasing };
 
-  /// A replica's word on a claim, and in which of its lives.
+  /// A replica's vote on a claim, and the incarnation that cast it.
   struct Vote {
-    Incarnation life;
+    Incarnation incarnation;
     CrashVector vector;
     proto::ClaimVerdict verdict = proto::CLAIM_VERDICT_UNSPECIFIED;
     uint64_t holderDigest = 0;
@@ -106,7 +107,8 @@
     Time nextSend{};
     Duration resendInterval{};
     std::map<NodeId, Vote> votes;
-    std::set<NodeId> unacknowledged;  ///< Replicas that have yet to take the completion or release.
+    std::set<NodeId>
+        unacknowledged;  ///< Replicas that have yet to confirm the completion or release.
     size_t acknowledged = 0;
     bool completionReported = false;
     ClaimAnswer answer;
@@ -118,19 +120,19 @@
                MessageSender& sender);
   void onAcknowledged(NodeId from, uint64_t number, Phase phase);
   void decide(Attempt& attempt, Time now, MessageSender& sender);
-  /// Removes votes of lives that another vote knows to have ended.
+  /// Removes votes of incarnations that another vote shows to have ended.
   void dropStaleVotes(Attempt& attempt) const;
-  void refuse(Attempt& attempt, ClaimOutcome outcome, Time now, MessageSender& sender);
+  void reject(Attempt& attempt, ClaimOutcome outcome, Time now, MessageSender& sender);
   ClaimOutcome outcomeOfLoss(const Attempt& attempt, Time now);
   ClaimOutcome outcomeOfCompleted(const Attempt& attempt, const Vote& vote) const;
   void beginRelease(Attempt& attempt, Time now, MessageSender& sender);
   void sendDue(Attempt& attempt, Time now, MessageSender& sender);
   void sendClaim(const Attempt& attempt, MessageSender& sender) const;
-  void sendEnd(const Attempt& attempt, MessageSender& sender) const;
+  void sendCompletionOrRelease(const Attempt& attempt, MessageSender& sender) const;
   void reportCompletion(Attempt& attempt, bool recorded);
   Attempt* findByTicket(ClaimTicket ticket);
   const Attempt* findActive(const ClaimKey& key) const;
-  Duration spreadRetry();
+  Duration jitteredRetryDelay();
   int64_t wall(Time now) const;
 
   NodeLife self_;
--- a/src/claim/claim_key.h
+++ b/src/claim/claim_key.h
@@ -1,6 +1,6 @@
 /// @file
-/// Keys of not-repeatable requests. A key bears its birth time in its text, so that every node
-/// reads the same birth from a resend without having seen the first send (see docs/CLAIMS.md).
+/// Keys of non-repeatable requests. The text of a key contains its creation time (birth), so every
+/// node reads the same birth from a resend without having seen the first send (see docs/CLAIMS.md).
 #pragma once
 
 #include <cstdint>
@@ -12,7 +12,7 @@
 
 namespace fernmoor {
 
-/// Identifies one not-repeatable request across all its resends.
+/// Identifies one non-repeatable request across all its resends.
 struct ClaimKey {
   TenantId tenant;
   ServiceId service;
@@ -27,21 +27,22 @@
   }
 };
 
-/// Reads a caller's key. Accepted forms, each with its birth: UUID version 7, ULID, and
+/// Parses a caller's key. Accepted forms, each containing a birth: UUID version 7, ULID, and
 /// `<unix seconds>-<any>` or `<unix milliseconds>-<any>` (10 or 13 digits).
 /// @return an error of kind kInvalidRequest (kNotRun: no node accepts such a key) that names the
 /// accepted forms.
 Result<ClaimKey> parseClaimKey(const TenantId& tenant, const ServiceId& service,
                                const std::string& text);
 
-/// @return a new key text born at the given instant, for callers without a usable clock.
-/// @param randomBits tells keys of the same millisecond apart.
+/// @return a new key text with the given creation time, for callers without a usable clock.
+/// @param randomBits distinguishes keys of the same millisecond.
 std::string mintClaimKeyText(int64_t wallMicroseconds, uint64_t randomBits);
 
 /// @return a stable hash of the key, equal on every machine.
 uint64_t claimKeyHash(const ClaimKey& key);
 
-/// @return a digest of a request's content, by which a key used for another request is noticed.
+/// @return a digest of a request's content, used to detect that a key is reused for another
+/// request.
 uint64_t claimDigest(const std::string& content);
 
 }  // namespace fernmoor
--- a/src/claim/claim_record.cpp
+++ b/src/claim/claim_record.cpp
@@ -17,7 +17,7 @@
   return kChart;
 }
 
-void uniteTombstones(ClaimRecord& merged, const std::vector<RecordView>& views) {
+void mergeTombstones(ClaimRecord& merged, const std::vector<RecordView>& views) {
   for (const RecordView& view : views) {
     if (view.record == nullptr) {
       continue;
@@ -92,7 +92,7 @@
 
 ClaimRecord mergeRecords(const std::vector<RecordView>& views, bool voidConflicts) {
   ClaimRecord merged;
-  uniteTombstones(merged, views);
+  mergeTombstones(merged, views);
   if (const ClaimRecord* completed = findState(views, RecordState::kCompleted)) {
     merged.apply(RecordEvent::kComplete);
     adoptHolder(merged, *completed);
--- a/src/claim/claim_record.h
+++ b/src/claim/claim_record.h
@@ -1,5 +1,5 @@
 /// @file
-/// What one replica knows of one key, and how the records of several replicas are merged by a
+/// The record of one key at one replica, and the merge of the records of several replicas by a
 /// replica that lost its own.
 #pragma once
 
@@ -12,7 +12,7 @@
 
 namespace fernmoor {
 
-/// One try of one dispatching node to win a key; never used again once released.
+/// One attempt of one dispatching node to claim a key; never reused once released.
 struct ClaimAttempt {
   NodeLife dispatcher;
   uint64_t number = 0;
@@ -22,12 +22,12 @@
   friend bool operator!=(const ClaimAttempt& a, const ClaimAttempt& b) { return !(a == b); }
 };
 
-/// The answer of a request that ran, kept for its resends.
+/// The answer of a request that ran, stored for its resends.
 struct ClaimAnswer {
   uint32_t httpStatus = 0;
   std::string contentType;
   std::string body;
-  bool dropped = false;  ///< The request ran, but its answer was not kept.
+  bool dropped = false;  ///< The request ran, but its answer was not stored.
 };
 
 /// States and events of charts/claim.scxml.
@@ -48,21 +48,21 @@
   /// Applies an event of the chart. @return false if the chart has no such transition.
   bool apply(RecordEvent event);
   bool isReleased(const ClaimAttempt& attempt) const;
-  /// Adds a tombstone; forgets the oldest beyond a fixed number (that costs progress of its
-  /// author's late messages only, never safety).
+  /// Adds a tombstone; drops the oldest beyond a fixed number (which affects only the
+  /// progress of its dispatcher's late messages, never safety).
   void addTombstone(const ClaimAttempt& attempt);
 };
 
-/// What one replica said of a key to a replica that merges.
+/// What one replica reported about a key to the merging replica.
 struct RecordView {
   const ClaimRecord* record = nullptr;  ///< Null: it has no record of the key.
   bool voidIfAbsent = false;            ///< The key is older than the replica's birth floor.
 };
 
-/// Merges what other replicas know: an answer wins; then a void; two different claims that are
-/// not released void the key, since the merging replica can't know whom it voted for; then a
-/// claim; tombstones are united.
-/// @param voidConflicts false only in tests that show what the rule is for.
+/// Merges the records of other replicas. Precedence: an answer, then a void; two different claims
+/// that are not released void the key, since the merging replica can't know which one it voted for;
+/// then a claim. The tombstones of all records are combined.
+/// @param voidConflicts false only in tests that show why the rule is needed.
 ClaimRecord mergeRecords(const std::vector<RecordView>& views, bool voidConflicts);
 
 }  // namespace fernmoor
--- a/src/claim/claim_replica.cpp
+++ b/src/claim/claim_replica.cpp
@@ -23,7 +23,7 @@
       rules_(rules),
       store_(knobs),
       epoch_(self, wallMicrosecondsAtZero, knobs, rules, store_) {
-  raiseLife(lives_, self);
+  raiseIncarnation(incarnations_, self);
 }
 
 int64_t ClaimReplica::wall(Time now) const {
@@ -98,7 +98,7 @@
   *reply.mutable_attempt() = request.attempt();
   reply.set_epoch(request.epoch());
   for (const NodeId node : epoch_.groupFor(*key)) {
-    *reply.add_crash_vector() = toProto(NodeLife{node, knownLife(lives_, node)});
+    *reply.add_crash_vector() = toProto(NodeLife{node, knownIncarnation(incarnations_, node)});
   }
   if (const ClaimRecord* record = std::as_const(store_).find(*key)) {
     reply.set_holder_digest(record->digest);
@@ -111,7 +111,7 @@
 }
 
 bool ClaimReplica::applyRelease(const ClaimKey& key, const ClaimAttempt& attempt) {
-  // A key that is not settled yet may take over a claim that this release ends.
+  // Settling a key later may bring in a claim that this release ends.
   const bool inGroup = contains(epoch_.groupFor(key), epoch_.self().node);
   if (inGroup && !epoch_.settle(key)) {
     return false;
@@ -141,7 +141,7 @@
     return;
   }
   if (!applyRelease(*key, attempt)) {
-    return;  // Not acknowledged, so that the author sends it again.
+    return;  // Not acknowledged, so that the dispatcher resends it.
   }
   proto::Envelope envelope;
   proto::ClaimReleaseReply& reply = *envelope.mutable_claim()->mutable_release_reply();
@@ -165,7 +165,7 @@
     return;
   }
   if (record->apply(RecordEvent::kComplete)) {
-    // An answer is the truth in every epoch: whoever completed had been granted the key.
+    // An answer is valid in every epoch: its dispatcher had been granted the key.
     record->settledEpoch = epoch_.configuration().epoch;
     record->holder = attempt;
     record->digest = completion.digest();
@@ -222,8 +222,8 @@
     *reply.mutable_after() = request.after();
   }
   if (reply.status() == proto::CLAIM_TRANSFER_STATUS_WITH_STATE) {
-    for (const auto& [node, life] : lives_) {
-      *reply.add_crash_vector() = toProto(NodeLife{node, life});
+    for (const auto& [node, incarnation] : incarnations_) {
+      *reply.add_crash_vector() = toProto(NodeLife{node, incarnation});
     }
     reply.set_birth_floor_microseconds(epoch_.floorForPeers());
     fillPage(request, from.node, now, reply);
@@ -253,7 +253,7 @@
 
 void ClaimReplica::onMessage(NodeLife from, const proto::Envelope& envelope, Time now,
                              MessageSender& sender) {
-  raiseLife(lives_, from);
+  raiseIncarnation(incarnations_, from);
   const proto::ClaimMessage& message = envelope.claim();
   switch (message.body_case()) {
     case proto::ClaimMessage::kClaim:
@@ -265,8 +265,8 @@
     case proto::ClaimMessage::kTransfer:
       return onTransfer(from, message.transfer(), now, sender);
     case proto::ClaimMessage::kTransferReply:
-      for (const proto::NodeLife& life : message.transfer_reply().crash_vector()) {
-        raiseLife(lives_, fromProto(life));
+      for (const proto::NodeLife& identity : message.transfer_reply().crash_vector()) {
+        raiseIncarnation(incarnations_, fromProto(identity));
       }
       if (epoch_.onReply(from, message.transfer_reply(), now)) {
         sendTransferRequests(now, sender);
--- a/src/claim/claim_replica.h
+++ b/src/claim/claim_replica.h
@@ -1,6 +1,6 @@
 /// @file
-/// The replica duty of a node: it votes on keys and keeps answers for resends. How it recovers
-/// after a loss of memory and takes over at a change of the group is in replica_epoch.h.
+/// The replica role of a node: it votes on keys and stores answers for resends. Recovery after a
+/// loss of state and takeover after a change of the group are in replica_epoch.h.
 /// docs/CLAIMS.md explains the protocol; spec/claim.pml and spec/claim_group.pml check it.
 ///
 /// After E. Michael, D. Ports, N. Sharma, A. Szekeres, "Recovering Shared Objects Without Stable
@@ -19,11 +19,11 @@
 
 namespace fernmoor {
 
-/// What operators and the writer of the group configuration see of a replica.
+/// Replica status for operators and for the writer of the group configuration.
 struct ClaimReplicaStatus {
   uint64_t epoch = 0;
   bool isMember = false;
-  /// Every record is here: the next epoch may be written once all members say so.
+  /// All records are present: the next epoch may be written once all members report this.
   bool isActive = false;
   size_t records = 0;
   size_t claimed = 0;
@@ -31,10 +31,10 @@
   size_t storedBytes = 0;
 };
 
-/// Not thread-safe; ClaimService guards it.
+/// Not thread-safe; ClaimService serializes the calls.
 class ClaimReplica : public Role {
  public:
-  /// @param self this node in its present life.
+  /// @param self this node in its current incarnation.
   /// @param wallMicrosecondsAtZero wall clock minus monotonic clock, in microseconds.
   ClaimReplica(NodeLife self, int64_t wallMicrosecondsAtZero, const Knobs& knobs,
                ClaimRules rules = {});
@@ -45,12 +45,12 @@
                  MessageSender& sender) override;
   void onTick(Time now, MessageSender& sender) override;
 
-  /// Takes a newer configuration; an older or equal one is ignored. The first one after a start
+  /// Applies a newer configuration; an older or equal one is ignored. The first one after a start
   /// must be the newest that the platform holds, not merely the newest of one peer.
   void setGroupConfiguration(const GroupConfiguration& configuration, Time now);
 
   ClaimReplicaStatus status() const;
-  /// @return the record of a key as it stands, or null; for tests and operators.
+  /// @return the current record of a key, or null; for tests and operators.
   const ClaimRecord* find(const ClaimKey& key) const { return store_.find(key); }
 
  private:
@@ -61,7 +61,7 @@
   void onTransfer(NodeLife from, const proto::ClaimTransferRequest& request, Time now,
                   MessageSender& sender);
 
-  /// Decides on a claim and records it where it is granted.
+  /// Votes on a claim and records it if it is granted.
   proto::ClaimVerdict vote(const ClaimKey& key, const ClaimAttempt& attempt, uint64_t digest,
                            uint64_t epoch, Time now);
   proto::ClaimVerdict voteUnclaimed(const ClaimKey& key, const ClaimAttempt& attempt,
@@ -75,7 +75,7 @@
   int64_t wallMicrosecondsAtZero_;
   Knobs knobs_;
   ClaimRules rules_;
-  CrashVector lives_;
+  CrashVector incarnations_;
   ClaimStore store_;
   ReplicaEpoch epoch_;
   Time nextTransfer_{};
--- a/src/claim/claim_service.cpp
+++ b/src/claim/claim_service.cpp
@@ -4,8 +4,8 @@
 
 namespace fernmoor {
 
-/// Keeps messages to the node itself back and gathers the others, so that no lock is held while
-/// the transport takes them.
+/// Queues messages to the node itself apart from the others, so that no lock is held while the
+/// others are passed to the transport.
 class ClaimService::LoopbackSender : public MessageSender {
  public:
   explicit LoopbackSender(NodeId self) : self_(self) {}
--- a/src/claim/claim_service.h
+++ b/src/claim/claim_service.h
@@ -1,6 +1,6 @@
 /// @file
-/// The claims of a node for its request threads: both duties behind one lock, with outcomes as
-/// futures.
+/// Thread-safe access to the claims of a node: the replica and the coordinator behind one lock,
+/// with outcomes as futures.
 #pragma once
 
 #include <functional>
@@ -16,7 +16,7 @@
 
 namespace fernmoor {
 
-/// A begin() whose end is awaited.
+/// A begin() whose outcome is pending.
 struct PendingClaim {
   ClaimTicket ticket;
   std::future<ClaimOutcome> outcome;
@@ -33,18 +33,19 @@
                  MessageSender& sender) override;
   void onTick(Time now, MessageSender& sender) override;
 
-  /// Takes a newer group configuration; see ClaimReplica::setGroupConfiguration().
+  /// Applies a newer group configuration; see ClaimReplica::setGroupConfiguration().
   void setGroupConfiguration(const GroupConfiguration& configuration, Time now,
                              MessageSender& sender);
 
-  /// Starts to claim a key. The outcome comes within the claim timeout, given ticks.
+  /// Starts to claim a key. The outcome is set within the claim timeout, provided that onTick() is
+  /// called.
   PendingClaim begin(const ClaimKey& key, uint64_t digest, Time now, MessageSender& sender);
   /// Records the answer of a granted request.
-  /// @return whether a majority keeps it; comes at the latest after the release time.
+  /// @return whether a majority stores it; set at the latest after the release time.
   std::future<bool> complete(ClaimTicket ticket, const ClaimAnswer& answer, Time now,
                              MessageSender& sender);
-  /// Gives a claim back, granted or not yet; see ClaimCoordinator::release(). A future that is not
-  /// ready by then is broken.
+  /// Releases a claim, granted or still pending; see ClaimCoordinator::release(). A future that is
+  /// not ready by then gets a broken promise.
   void release(ClaimTicket ticket, Time now, MessageSender& sender);
 
   ClaimReplicaStatus status() const;
@@ -52,7 +53,7 @@
  private:
   class LoopbackSender;
 
-  /// Runs a step under the lock, delivers messages to itself, and then settles the futures.
+  /// Runs a step under the lock, delivers messages to this node, and then sets the futures.
   void run(Time now, MessageSender& sender, const std::function<void(MessageSender&)>& step);
   void dispatch(const NodeLife& from, const proto::Envelope& envelope, Time now,
                 MessageSender& sender);
--- a/src/claim/claim_store.cpp
+++ b/src/claim/claim_store.cpp
@@ -28,15 +28,15 @@
 
 bool ClaimStore::put(const ClaimKey& key, ClaimRecord record) {
   const auto old = records_.find(key);
-  const bool saysNothing = record.state == RecordState::kUnclaimed && record.released.empty();
-  if (old == records_.end() && !saysNothing && !hasRoom()) {
+  const bool isEmpty = record.state == RecordState::kUnclaimed && record.released.empty();
+  if (old == records_.end() && !isEmpty && !hasRoom()) {
     return false;
   }
   if (old != records_.end()) {
     storedBytes_ -= old->second.answer.body.size();
     records_.erase(old);
   }
-  if (saysNothing) {
+  if (isEmpty) {
     return true;
   }
   ClaimAnswer answer = std::exchange(record.answer, ClaimAnswer{});
--- a/src/claim/claim_store.h
+++ b/src/claim/claim_store.h
@@ -1,5 +1,5 @@
 /// @file
-/// The records of one replica, bounded in number, bytes and age.
+/// The records of one replica, limited in number, bytes and age.
 #pragma once
 
 #include <cstdint>
@@ -12,7 +12,7 @@
 
 namespace fernmoor {
 
-/// Not thread-safe; owned by ClaimReplica. A key without a record that is born before the birth
+/// Not thread-safe; owned by ClaimReplica. A key without a record created before the birth
 /// floor counts as voided.
 class ClaimStore {
  public:
@@ -21,14 +21,14 @@
   /// @return the record, or null.
   const ClaimRecord* find(const ClaimKey& key) const;
   ClaimRecord* find(const ClaimKey& key);
-  /// @return the record, a new unclaimed one where there is none; null where there is no room.
+  /// @return the record, a new unclaimed one where there is none; null if the store is full.
   ClaimRecord* findOrAdd(const ClaimKey& key);
-  /// Replaces the record; a record that says nothing is not kept.
-  /// @return false where there is no room.
+  /// Replaces the record; a record without content is not stored.
+  /// @return false if the store is full.
   bool put(const ClaimKey& key, ClaimRecord record);
-  /// Keeps an answer with the record, within the bounds on answers.
+  /// Stores an answer in the record, within the limits on answers.
   void keepAnswer(ClaimRecord& record, ClaimAnswer answer);
-  /// Forgets keys born before the instant and raises the floor to it.
+  /// Removes keys created before the given time and raises the birth floor to it.
   void pruneBornBefore(int64_t wallMicroseconds);
 
   void raiseBirthFloor(int64_t wallMicroseconds);
--- a/src/claim/claim_wire.cpp
+++ b/src/claim/claim_wire.cpp
@@ -42,20 +42,20 @@
 
 }  // namespace
 
-void raiseLife(CrashVector& vector, const NodeLife& life) {
-  Incarnation& known = vector[life.node];
-  known = std::max(known, life.incarnation);
+void raiseIncarnation(CrashVector& vector, const NodeLife& identity) {
+  Incarnation& known = vector[identity.node];
+  known = std::max(known, identity.incarnation);
 }
 
-Incarnation knownLife(const CrashVector& vector, NodeId node) {
+Incarnation knownIncarnation(const CrashVector& vector, NodeId node) {
   const auto found = vector.find(node);
   return found == vector.end() ? Incarnation{} : found->second;
 }
 
-proto::NodeLife toProto(const NodeLife& life) {
+proto::NodeLife toProto(const NodeLife& identity) {
   proto::NodeLife message;
-  message.set_node_id(life.node.value());
-  message.set_incarnation(life.incarnation.value());
+  message.set_node_id(identity.node.value());
+  message.set_incarnation(identity.incarnation.value());
   return message;
 }
 
--- a/src/claim/group_configuration_codec.h
+++ b/src/claim/group_configuration_codec.h
@@ -1,5 +1,5 @@
 /// @file
-/// Group configurations as the platform keeps them: one JSON object.
+/// Conversion of group configurations to and from the JSON object that the platform stores.
 #pragma once
 
 #include <string>
@@ -10,7 +10,7 @@
 namespace fernmoor {
 
 std::string groupConfigurationToJson(const GroupConfiguration& configuration);
-/// @return kInvalidRequest where the text is no group configuration.
+/// @return kInvalidRequest if the text is not a group configuration.
 Result<GroupConfiguration> groupConfigurationFromJson(const std::string& text);
 
 }  // namespace fernmoor
--- a/src/claim/replica_epoch.cpp
+++ b/src/claim/replica_epoch.cpp
@@ -32,7 +32,7 @@
       store_(store) {}
 
 int64_t ReplicaEpoch::floorAt(Time now) const {
-  // Votes are given to births up to one skew ahead, by a clock that is up to one skew ahead.
+  // Replicas vote for births up to one skew ahead of a clock that is itself up to one skew ahead.
   return wallMicrosecondsAtZero_ + now.time_since_epoch().count() +
          2 * knobs_.claimClockSkew.count();
 }
@@ -64,7 +64,7 @@
   seal(configuration.epoch);
   recovery_.reset();
   sealing_.reset();
-  recoveryGivenUp_ = false;
+  recoveryAbandoned_ = false;
   const auto& members = configuration_.members;
   const auto own = std::find_if(members.begin(), members.end(), [&](const GroupMember& member) {
     return member.node == self_.node;
@@ -122,7 +122,7 @@
 bool ReplicaEpoch::settle(const ClaimKey& key) {
   ClaimRecord* known = store_.find(key);
   if (known != nullptr && known->state == RecordState::kCompleted) {
-    known->settledEpoch = configuration_.epoch;  // An answer is the truth in every epoch.
+    known->settledEpoch = configuration_.epoch;  // An answer is valid in every epoch.
   }
   if (known != nullptr && known->settledEpoch == configuration_.epoch) {
     return true;
@@ -133,7 +133,7 @@
   if (recovery_ && settleByRecovery(key)) {
     return true;
   }
-  if (recovery_ && !recoveryGivenUp_) {
+  if (recovery_ && !recoveryAbandoned_) {
     return false;
   }
   return settleBySealing(key);
@@ -163,7 +163,7 @@
 
 bool ReplicaEpoch::settleBySealing(const ClaimKey& key) {
   TransferView view;
-  bool lost = recoveryGivenUp_ && store_.isOlderThanFloor(key);
+  bool lost = recoveryAbandoned_ && store_.isOlderThanFloor(key);
   if (sealing_) {
     const std::vector<NodeId> group = replicaGroupFor(
         key, configuration_.previousMembers, static_cast<size_t>(knobs_.claimReplicaCount));
@@ -248,7 +248,7 @@
 
 void ReplicaEpoch::onTick(Time now) {
   if (isRecovering() && now >= recoveryDeadline_) {
-    recoveryGivenUp_ = true;
+    recoveryAbandoned_ = true;
     store_.raiseBirthFloor(floorAt(now));
   }
   completeIfPossible();
@@ -256,7 +256,7 @@
 
 std::vector<std::pair<NodeId, proto::ClaimTransferRequest>> ReplicaEpoch::transferRequests() const {
   std::vector<std::pair<NodeId, proto::ClaimTransferRequest>> due;
-  if (recovery_ && !recoveryGivenUp_) {
+  if (recovery_ && !recoveryAbandoned_) {
     due = recovery_->requests();
   }
   if (sealing_ && !recoveredFromPeers()) {
--- a/src/claim/replica_epoch.h
+++ b/src/claim/replica_epoch.h
@@ -1,6 +1,6 @@
 /// @file
-/// Which epoch a replica votes in, and how it gets the records that it must have before it votes:
-/// recovery from its peers after a loss of memory, sealing of the former epoch after a change of
+/// The epoch that a replica votes in, and how it gets the records required before it votes:
+/// recovery from its peers after a loss of state, sealing of the previous epoch after a change of
 /// the group. docs/CLAIMS.md gives the rules and their reasons.
 #pragma once
 
@@ -28,14 +28,14 @@
   void enter(const GroupConfiguration& configuration, Time now);
   /// Stops voting in every epoch below the given one.
   void seal(uint64_t belowEpoch);
-  /// Takes a page of records. @return true if the next requests should be sent at once.
+  /// Handles a page of records. @return true if the next requests should be sent at once.
   bool onReply(const NodeLife& from, const proto::ClaimTransferReply& reply, Time now);
-  /// Gives up a recovery whose time has run out.
+  /// Abandons a recovery that has timed out.
   void onTick(Time now);
-  /// @return requests for records that are still wanted.
+  /// @return requests for records that are still missing.
   std::vector<std::pair<NodeId, proto::ClaimTransferRequest>> transferRequests() const;
 
-  /// Brings the key's record up to the present epoch. @return false while that is not possible.
+  /// Brings the key's record up to the current epoch. @return false while that is not possible.
   bool settle(const ClaimKey& key);
   /// @return true if this node votes in the epoch on the key once it is settled.
   bool votesIn(uint64_t epoch, const ClaimKey& key) const;
@@ -49,7 +49,7 @@
   uint64_t sealedBelow() const { return sealedBelow_; }
   std::vector<NodeId> groupFor(const ClaimKey& key) const;
   bool isMember() const;
-  /// @return true when every record of this node's keys is here.
+  /// @return true if all records of this node's keys are present.
   bool isActive() const { return completeEpoch_ != 0 && completeEpoch_ == configuration_.epoch; }
 
  private:
@@ -62,7 +62,7 @@
   bool settleAllKnown();
 
   bool recoveredFromPeers() const;
-  bool isRecovering() const { return recovery_ && !recoveryGivenUp_ && !recoveredFromPeers(); }
+  bool isRecovering() const { return recovery_ && !recoveryAbandoned_ && !recoveredFromPeers(); }
   bool everyGroupIsSealed() const;
   bool everyGroupHasState() const;
   int64_t floorAt(Time now) const;
@@ -75,13 +75,14 @@
   ClaimStore& store_;
   GroupConfiguration configuration_;
   uint64_t sealedBelow_ = 0;    ///< No votes in epochs below this one.
-  uint64_t completeEpoch_ = 0;  ///< Latest epoch whose records are all here.
+  uint64_t completeEpoch_ = 0;  ///< Latest epoch whose records are all present.
   std::optional<StateTransfer> recovery_;
   std::optional<StateTransfer> sealing_;
   Time recoveryDeadline_{};
-  bool recoveryGivenUp_ = false;
+  bool recoveryAbandoned_ = false;
   bool ownStateIsSource_ = false;  ///< This node's records are those of the sealed epoch.
-  int64_t emptySourceFloor_ = 0;   ///< Sources without memory voted only on keys born before.
+  int64_t emptySourceFloor_ =
+      0;  ///< Sources that lost their state voted only on keys created before this.
 };
 
 }  // namespace fernmoor
--- a/src/claim/state_transfer.cpp
+++ b/src/claim/state_transfer.cpp
@@ -40,37 +40,37 @@
     return false;
   }
   Source& source = found->second;
-  if (from.incarnation < source.life || source.withState) {
+  if (from.incarnation < source.incarnation || source.withState) {
     return false;
   }
   if (reply.status() == proto::CLAIM_TRANSFER_STATUS_EMPTY) {
     source = Source{};
-    source.life = from.incarnation;
+    source.incarnation = from.incarnation;
     source.empty = true;
     return false;
   }
   if (reply.status() != proto::CLAIM_TRANSFER_STATUS_WITH_STATE) {
     return false;
   }
-  if (from.incarnation != source.life) {
+  if (from.incarnation != source.incarnation) {
     source = Source{};
-    source.life = from.incarnation;
+    source.incarnation = from.incarnation;
   }
-  takePage(source, reply, now);
+  acceptPage(source, reply, now);
   dropStale();
   return true;
 }
 
-void StateTransfer::takePage(Source& source, const proto::ClaimTransferReply& reply, Time now) {
+void StateTransfer::acceptPage(Source& source, const proto::ClaimTransferReply& reply, Time now) {
   const std::optional<ClaimKey> after =
       reply.has_after() ? fromProto(reply.after()) : std::optional<ClaimKey>();
   const bool expected =
       after.has_value() == source.cursor.has_value() && (!after || *after == *source.cursor);
   if (!expected) {
-    return;  // A doubled or overtaken page.
+    return;  // A duplicate or reordered page.
   }
-  for (const proto::NodeLife& life : reply.crash_vector()) {
-    raiseLife(source.vector, fromProto(life));
+  for (const proto::NodeLife& identity : reply.crash_vector()) {
+    raiseIncarnation(source.vector, fromProto(identity));
   }
   source.birthFloor = std::max(source.birthFloor, reply.birth_floor_microseconds());
   for (const proto::ClaimRecordMessage& message : reply.records()) {
@@ -93,13 +93,13 @@
   }
   CrashVector known;
   for (const auto& [node, source] : sources_) {
-    raiseLife(known, NodeLife{node, source.life});
-    for (const auto& [other, life] : source.vector) {
-      raiseLife(known, NodeLife{other, life});
+    raiseIncarnation(known, NodeLife{node, source.incarnation});
+    for (const auto& [other, incarnation] : source.vector) {
+      raiseIncarnation(known, NodeLife{other, incarnation});
     }
   }
   for (auto& [node, source] : sources_) {
-    if (source.life != Incarnation{} && source.life < knownLife(known, node)) {
+    if (source.incarnation != Incarnation{} && source.incarnation < knownIncarnation(known, node)) {
       source = Source{};
     }
   }
--- a/src/claim/state_transfer.h
+++ b/src/claim/state_transfer.h
@@ -1,7 +1,7 @@
 /// @file
 /// Collects the records that other replicas hold, page by page: from the peers of the same epoch
-/// after a loss of memory (recovery), or from the members of the former epoch, which stop voting
-/// in it by answering (sealing). Answers of a replica that has restarted since are put aside, as
+/// after a loss of state (recovery), or from the members of the previous epoch, which stop voting
+/// in it by answering (sealing). Answers of a replica that has restarted since are discarded, as
 /// in E. Michael, D. Ports, N. Sharma, A. Szekeres, "Recovering Shared Objects Without Stable
 /// Storage", DISC 2017. Not thread-safe; owned by ClaimReplica.
 #pragma once
@@ -18,17 +18,17 @@
 
 namespace fernmoor {
 
-/// What the answered sources say of one key.
+/// What the sources that answered report about one key.
 struct TransferView {
   size_t withState = 0;  ///< Sources of the key's group that answered with their records.
-  size_t sealed = 0;     ///< The same and those that are known to have lost their memory.
+  size_t sealed = 0;     ///< The same and those that are known to have lost their state.
   std::vector<RecordView> records;
 };
 
 class StateTransfer {
  public:
   /// @param sources replicas to ask, without the node itself.
-  /// @param retired sources that are gone for good; counted as sealed without state.
+  /// @param retired sources that are permanently gone; counted as sealed without state.
   StateTransfer(uint64_t sourceEpoch, uint64_t targetEpoch, const std::vector<NodeId>& sources,
                 const std::vector<NodeId>& retired, ClaimRules rules);
 
@@ -38,12 +38,12 @@
   /// @return sources that must be asked (again), with the request for each.
   std::vector<std::pair<NodeId, proto::ClaimTransferRequest>> requests() const;
 
-  /// Takes a page of an answer.
+  /// Handles a page of an answer.
   /// @return true if the caller should send the next requests at once.
   bool onReply(const NodeLife& from, const proto::ClaimTransferReply& reply, Time now);
 
-  /// @return what the sources of the group say of the key; views stay valid until the next call
-  /// of a function that is not const.
+  /// @return what the sources of the group report about the key; views stay valid until the next
+  /// call of a function that is not const.
   TransferView view(const ClaimKey& key, const std::vector<NodeId>& group) const;
 
   /// @return how many sources have not given their state / have not at least sealed.
@@ -58,18 +58,18 @@
 
  private:
   struct Source {
-    Incarnation life;        ///< Of the answer that is being taken or was taken.
-    CrashVector vector;      ///< Lives that the source knew when it answered.
-    int64_t birthFloor = 0;  ///< Older keys without a record are void there.
+    Incarnation incarnation;  ///< Of the answer that is being or was received.
+    CrashVector vector;       ///< Incarnations that the source knew when it answered.
+    int64_t birthFloor = 0;   ///< Older keys without a record are void there.
     std::map<ClaimKey, ClaimRecord> records;
     std::optional<ClaimKey> cursor;
     bool withState = false;
     bool empty = false;
   };
 
-  /// Puts aside answers of lives that another answer knows to have ended.
+  /// Discards answers of incarnations that another answer shows to have ended.
   void dropStale();
-  void takePage(Source& source, const proto::ClaimTransferReply& reply, Time now);
+  void acceptPage(Source& source, const proto::ClaimTransferReply& reply, Time now);
 
   uint64_t sourceEpoch_;
   uint64_t targetEpoch_;
