--- a/src/engine/cache_event.h
+++ b/src/engine/cache_event.h
@@ -1,5 +1,5 @@
 /// @file
-/// What an engine tells of its prefix cache.
+/// Events by which an engine reports changes of its prefix cache.
 #pragma once
 
 #include <cstdint>
--- a/src/engine/cache_view.cpp
+++ b/src/engine/cache_view.cpp
@@ -19,7 +19,7 @@
   updatedAt_ = now;
   if (batch.gap) {
     markGap(now);
-    // The lost events are given up on: what follows them is the next in order.
+    // Lost events are not requested again: the sequence resumes after them.
     sequence_ = batch.events.empty() ? sequence_ : batch.events.front().sequence - 1;
   }
   for (const CacheEvent& event : batch.events) {
@@ -55,7 +55,7 @@
     reset(incarnation);
   }
   if (weightsVersion != weightsVersion_) {
-    // The engine goes on numbering its events, so the sequence stays.
+    // The engine continues its event numbering, so the sequence is kept.
     weightsVersion_ = weightsVersion;
     blocks_.clear();
     anyDoubtful_ = false;
--- a/src/engine/cache_view.h
+++ b/src/engine/cache_view.h
@@ -1,6 +1,6 @@
 /// @file
-/// The owner's view of the blocks that one engine holds, in one life of it and for one version of
-/// the weights. The view may be late or wrong: a match is a hint that costs time at worst.
+/// The owner's view of the blocks cached by one engine, for one incarnation and one weights
+/// version. The view may be stale or wrong: a match is a hint, and a wrong hint only costs time.
 #pragma once
 
 #include <cstdint>
@@ -14,7 +14,7 @@
 
 namespace fernmoor {
 
-/// How much of a chain an engine seems to hold.
+/// How much of a chain an engine holds according to the view.
 struct CacheMatch {
   int64_t blocks = 0;     ///< Leading blocks held, the doubtful ones included.
   bool doubtful = false;  ///< Some of them are known only from before a gap in the events.
@@ -32,30 +32,30 @@
  public:
   CacheView(Incarnation incarnation, WeightsVersion weightsVersion, const Knobs& knobs);
 
-  /// Takes events. Those seen before are skipped; a hole in the sequence makes all that is known
+  /// Applies events. Duplicates are skipped; a gap in the sequence marks all known blocks as
   /// doubtful; a newer incarnation empties the view and an older one is ignored.
   void apply(const CacheEventBatch& batch, Time now);
 
-  /// Empties the view where the engine is in another life or serves other weights than it.
+  /// Empties the view if the engine's incarnation or weights version differs from the view's.
   void alignTo(Incarnation incarnation, WeightsVersion weightsVersion);
 
-  /// Learns from an answer how much of its prompt the engine did hold: the matched blocks are
-  /// confirmed and the block after them is dropped, which mends what a gap spoilt.
+  /// Corrects the view from an answer that reports how much of its prompt was cached: the matched
+  /// blocks are confirmed and the block after them is dropped, which repairs errors due to a gap.
   void confirm(const BlockChain& chain, int64_t matchedBlocks);
 
   /// Drops blocks that have been doubtful for longer than the knob doubtfulBlockLifetime.
   void expire(Time now);
 
   CacheMatch match(const BlockChain& chain) const;
-  /// Like the above to the depth of a sampled hash, by binary search: engines evict a chain's
+  /// As above, but only to the depth of a sampled hash, by binary search: engines evict a chain's
   /// blocks from its end, so a held block's predecessors are held too.
   CacheMatch match(const ChainSample& sample) const;
 
   Incarnation incarnation() const { return incarnation_; }
   WeightsVersion weightsVersion() const { return weightsVersion_; }
-  /// @return the last event seen; the next batch is asked for from there.
+  /// @return the sequence number of the last event seen; the next batch is requested from there.
   uint64_t sequence() const { return sequence_; }
-  /// @return when events last arrived, for the measure of staleness.
+  /// @return when events last arrived, for the staleness metric.
   Time updatedAt() const { return updatedAt_; }
   size_t blockCount() const { return blocks_.size(); }
   size_t memoryBytes() const { return sizeof(*this) + blocks_.memoryBytes(); }
--- a/src/engine/engine_client.cpp
+++ b/src/engine/engine_client.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr Duration kControlTimeout{1000000};
-/// Added to the wait of a long poll before the connection counts as broken.
+/// Added to a long poll's wait before the connection is considered broken.
 constexpr Duration kLongPollMargin{1000000};
 
 ErrorKind kindOf(const std::string& name, int status) {
@@ -24,7 +24,7 @@
   return status == 404 ? ErrorKind::kNotFound : ErrorKind::kUnavailable;
 }
 
-/// The engine's own words where it gave any.
+/// Uses the engine's own error message if it sent one.
 Error refusalOf(const HttpAnswer& answer) {
   Error error{ErrorKind::kUnavailable,
               "the engine answered status " + std::to_string(answer.status) + ".",
--- a/src/engine/engine_client.h
+++ b/src/engine/engine_client.h
@@ -13,7 +13,7 @@
 
 namespace fernmoor {
 
-/// One attempt as it is sent to an engine.
+/// An attempt's request to an engine.
 struct GenerateRequest {
   AttemptId attempt;
   RequestId request;
@@ -33,7 +33,7 @@
   int64_t tokens = 0;
   std::string text;
   bool end = false;
-  int64_t promptTokens = 0;  ///< 0 where the frame does not say.
+  int64_t promptTokens = 0;  ///< 0 if the frame does not report it.
   int64_t cachedTokens = 0;
 };
 
@@ -55,18 +55,18 @@
  public:
   explicit EngineClient(HttpClient& http) : http_(http) {}
 
-  /// Starts an attempt. Errors: what the engine said (kWrongIncarnation, kWrongWeights,
-  /// kNotFound, kConflict, kUnavailable), with runState kNotRun where the engine says so or no
+  /// Starts an attempt. Errors: the one the engine returned (kWrongIncarnation, kWrongWeights,
+  /// kNotFound, kConflict, kUnavailable), with runState kNotRun if the engine reports so or no
   /// byte was sent, else kUnknown.
   Result<std::unique_ptr<AttemptStream>> generate(const GenerateRequest& request, Duration timeout);
-  /// Takes up an attempt again on the same incarnation.
+  /// Resumes an attempt on the same incarnation.
   Result<std::unique_ptr<AttemptStream>> resume(const Placement& placement,
                                                 const AttemptId& attempt, int64_t position,
                                                 Duration timeout);
   /// Stops an attempt; failures are ignored, since engines drop attempts without a reader.
   void cancel(const SocketAddress& address, const AttemptId& attempt);
 
-  /// @return state and load; zone and address are left as the caller gave them.
+  /// @return state and load; zone and address are copied from `known`.
   Result<EngineState> state(const EngineState& known, Time now);
   /// Waits up to `wait` for events after the sequence number.
   Result<CacheEventBatch> events(const SocketAddress& address, Incarnation incarnation,
--- a/src/engine/engine_directory.cpp
+++ b/src/engine/engine_directory.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// Doubling stops there; 2^6 times the first pause is past the longest pause anyway.
+/// Limit of the backoff exponent; 2^6 times the first pause exceeds the longest pause anyway.
 constexpr int64_t kMaxDoublings = 6;
 
 }  // namespace
@@ -45,7 +45,7 @@
   const EngineState known = entry.state;
   entry.state = state;
   if (state.address.port == 0) {
-    // Reports of owners leave out what the machine list tells.
+    // Owners' reports omit the fields that come from the machine list.
     entry.state.address = known.address;
     entry.state.zone = known.zone;
   }
--- a/src/engine/engine_directory.h
+++ b/src/engine/engine_directory.h
@@ -1,6 +1,6 @@
 /// @file
-/// What this node knows of all model engines: where they are, what they serve, how loaded they are,
-/// which failed lately. Views of the caches are kept elsewhere (cache_view.h).
+/// Directory of all model engines known to this node: address, model, load and recent failures.
+/// Cache views are kept separately (cache_view.h).
 #pragma once
 
 #include <map>
@@ -13,7 +13,7 @@
 
 namespace fernmoor {
 
-/// An engine as the platform's machine list shows it.
+/// An engine's entry in the platform's machine list.
 struct EngineAddress {
   EngineId id;
   ZoneId zone;
@@ -26,21 +26,21 @@
  public:
   explicit EngineDirectory(const Knobs& knobs) : knobs_(knobs) {}
 
-  /// Takes the platform's list, which lags: engines that are missing from it are dropped only
-  /// where they do not answer either.
+  /// Applies the platform's list, which lags: engines missing from it are dropped only if they
+  /// do not answer either.
   void setAddresses(const std::vector<EngineAddress>& addresses, Time now);
-  /// Takes a state report of the engine itself or of its owner. Reports of a lower incarnation, or
-  /// with an older load than the one known, are ignored.
+  /// Applies a state report from the engine itself or from its owner. Reports of a lower
+  /// incarnation, or with an older load than the one known, are ignored.
   void update(const EngineState& state, Time now);
   /// The engine refused a connection, broke one or stalled: it gets no new work for a time that
   /// doubles with each failure in a row.
   void reportFailure(const EngineId& engine, Time now);
-  /// It answered: the count of failures starts anew.
+  /// The engine answered: resets its failure count.
   void reportSuccess(const EngineId& engine);
-  /// The engine said that it is another incarnation than the one placed for; it gets no work until
-  /// a new report came.
+  /// The engine reported another incarnation than the request was placed for; it gets no work until
+  /// a new report arrives.
   void reportStale(const EngineId& engine, Incarnation placedFor);
-  /// Operators take an engine out of choice, or put it back.
+  /// Excludes an engine from new work at an operator's request, or readmits it.
   void setDrained(const EngineId& engine, bool drained);
 
   /// @return engines that may get new work for the model and adapter now.
--- a/src/engine/engine_lease.cpp
+++ b/src/engine/engine_lease.cpp
@@ -53,7 +53,7 @@
   seen_.reset();
   if (object) {
     const Result<LeaseRecord> record = readLeaseRecord(object->valueJson);
-    // An unreadable lease is waited out as one of our own length.
+    // An unreadable lease is assumed to have the same duration as our own.
     seen_ = isOk(record) ? valueOf(record) : LeaseRecord{{}, knobs_.engineLeaseDuration};
   }
 }
--- a/src/engine/engine_lease.h
+++ b/src/engine/engine_lease.h
@@ -1,8 +1,9 @@
 /// @file
-/// The right to give orders to one engine (load weights, change role): a lease in the platform's
-/// collection "engine-leases", one object for each engine. The object's version is the fencing
-/// token; the engine refuses a token below the highest that it has seen, and the holder refuses
-/// itself once its lease lapsed on its own clock. C. Gray, D. Cheriton, "Leases", SOSP 1989.
+/// The lease that permits a node to send orders (load weights, change role) to one engine: stored
+/// in the platform's collection "engine-leases", one object per engine. The object's version is the
+/// fencing token; the engine rejects a token below the highest that it has seen, and the holder
+/// stops using its lease once it expired on the holder's own clock. C. Gray, D. Cheriton, "Leases",
+/// SOSP 1989.
 #pragma once
 
 #include <optional>
@@ -14,23 +15,23 @@
 
 namespace fernmoor {
 
-/// @return the collection of the leases.
+/// @return the collection that stores the leases.
 const CollectionName& engineLeaseCollection();
 
-/// What a lease's object says.
+/// Content of a lease object.
 struct LeaseRecord {
   NodeLife holder;
   Duration duration{0};  ///< From when the holder sent it.
 };
 
 std::string writeLeaseRecord(const LeaseRecord& record);
-/// @return the record, or an error of kind kInvalidRequest for an object that is no lease.
+/// @return the record, or an error of kind kInvalidRequest for an object that is not a lease.
 Result<LeaseRecord> readLeaseRecord(const std::string& valueJson);
 
-/// What a node that wants the lease should do now.
+/// Next action of a node that wants the lease.
 struct LeaseStep {
   enum class Kind {
-    kNothing,  ///< It is held and not near its end.
+    kNothing,  ///< The lease is held and not near expiry.
     kTake,     ///< Write the object under the expected version.
     kWait,     ///< Another holder's lease may still run.
   };
@@ -39,15 +40,15 @@
   Time until;                          ///< For kWait: read the object again then.
 };
 
-/// One engine's lease as one node sees it. All instants are of this node's clock: another holder's
+/// One engine's lease as seen by one node. All times are of this node's clock: another holder's
 /// lease counts from when this node first saw it, which is later than it was sent. Not thread-safe.
 class EngineLease {
  public:
-  /// @param self this life of this node; a later life of the same node is another holder.
+  /// @param self this incarnation of the node; a later one of the same node is another holder.
   EngineLease(NodeLife self, const Knobs& knobs) : self_(self), knobs_(knobs) {}
 
-  /// Takes the object as it was read.
-  /// @param object none: there is no such object.
+  /// Records the object as read.
+  /// @param object empty if the object does not exist.
   void onRead(const std::optional<PlatformObject>& object, Time now);
   /// @return what to do after a read.
   LeaseStep nextStep(Time now) const;
@@ -57,8 +58,8 @@
   /// The write failed, or may have: nothing is held until a later write is known to have worked.
   void onFailed();
 
-  /// @return the token for an order that is sent now, or kConflict where no lease is held, or
-  ///     where it lapsed.
+  /// @return the token for an order that is sent now, or kConflict if no lease is held or
+  ///     it expired.
   Result<FencingToken> authorize(Time now) const;
 
  private:
@@ -66,9 +67,9 @@
 
   NodeLife self_;
   Knobs knobs_;
-  std::optional<CollectionRevision> held_;  ///< Version of the lease that this life holds.
+  std::optional<CollectionRevision> held_;  ///< Version of the lease held by this incarnation.
   Time heldSince_;
-  CollectionRevision seenVersion_;  ///< 0: there is no object.
+  CollectionRevision seenVersion_;  ///< 0 if the object does not exist.
   Time firstSeen_;
   std::optional<LeaseRecord> seen_;
 };
--- a/src/engine/engine_lease_keeper.cpp
+++ b/src/engine/engine_lease_keeper.cpp
@@ -57,7 +57,7 @@
   const Time sentAt = clock_.now();
   Result<CollectionRevision> taken = platform_.put(engineLeaseCollection(), change, changeId);
   if (!isOk(taken) && errorOf(taken).runState == RunState::kUnknown) {
-    // Only a write known to have worked counts; one that arrives later is seen at the next read.
+    // Only a write known to have succeeded counts; one that arrives later is seen at the next read.
     const auto found = platform_.findChange(engineLeaseCollection(), changeId);
     taken = isOk(found) ? found : taken;
   }
--- a/src/engine/engine_lease_keeper.h
+++ b/src/engine/engine_lease_keeper.h
@@ -1,5 +1,5 @@
 /// @file
-/// Takes and renews engines' leases in the platform. Calls block; used on a control-plane thread.
+/// Acquires and renews engine leases in the platform. Calls block; used on a control-plane thread.
 #pragma once
 
 #include <map>
@@ -12,21 +12,22 @@
 
 namespace fernmoor {
 
-/// The leases of one life of one node. Leases are taken when there is an order to give, not kept
-/// for every engine: the platform bears few calls. Thread-safe; no lock is held during a call.
+/// The leases of one incarnation of a node. A lease is acquired when there is an order to send, not
+/// held for every engine, because the platform sustains few calls. Thread-safe; no lock is held
+/// during a call.
 class EngineLeaseKeeper {
  public:
   /// All references outlive the keeper.
   EngineLeaseKeeper(ObjectStoreClient& platform, NodeLife self, const Clock& clock,
                     const Knobs& knobs);
 
-  /// Takes the engine's lease, or renews it where its end is near.
-  /// @return the token for orders given now; kConflict with a time to come back where another
-  ///     node's lease may still run; the platform's error where it could not be asked.
+  /// Acquires the engine's lease, or renews it if it is near expiry.
+  /// @return the token for orders sent now; kConflict with a retry time if another node's lease
+  ///     may still be valid; the platform's error if it could not be queried.
   Result<FencingToken> acquire(const EngineId& engine);
 
   /// @return the token for an order that is sent now, without asking the platform: to be called
-  ///     right before each order. kConflict where the lease is not held or lapsed.
+  ///     right before each order. kConflict if the lease is not held or expired.
   Result<FencingToken> authorize(const EngineId& engine) const;
 
  private:
--- a/src/engine/engine_life.h
+++ b/src/engine/engine_life.h
@@ -1,5 +1,5 @@
 /// @file
-/// One life of an engine: its caches are those of that life only.
+/// One incarnation of an engine: its cache does not survive into the next incarnation.
 #pragma once
 
 #include "common/ids.h"
@@ -15,7 +15,7 @@
   }
 };
 
-/// @return a hash that differs between engines and between the lives of one.
+/// @return a hash that differs between engines and between incarnations of one engine.
 inline uint64_t engineLifeHash(const EngineLife& life) {
   return rendezvousWeight(stableHash(life.engine.value()), life.incarnation.value());
 }
--- a/src/engine/engine_load_codec.cpp
+++ b/src/engine/engine_load_codec.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// Most adapters taken from a message.
+/// Maximum number of adapters accepted from a message.
 constexpr int kAdapterLimit = 64;
 constexpr Duration kMicrosecondsPerMillisecond{1000};
 
--- a/src/engine/engine_load_codec.h
+++ b/src/engine/engine_load_codec.h
@@ -1,5 +1,5 @@
 /// @file
-/// Engine loads as they cross the network: small numbers, and an age instead of an instant.
+/// Wire encoding of engine loads: small integers, and an age instead of a timestamp.
 #pragma once
 
 #include "engine/engine_state.h"
@@ -7,16 +7,16 @@
 
 namespace fernmoor {
 
-/// Fills in the parts that change all the time.
+/// Encodes the fields that change constantly.
 void encodeLoad(const EngineLoad& load, Time now, proto::EngineLoadSummary& summary);
-/// Sets the parts that change all the time; the others are left as they are.
+/// Decodes the fields that change constantly; the others are left unchanged.
 void decodeLoad(const proto::EngineLoadSummary& summary, Time now, EngineLoad& load);
 
-/// Fills in the parts that seldom change.
+/// Encodes the fields that seldom change.
 void encodeProfile(const EngineState& state, proto::EngineProfile& profile);
 void decodeProfile(const proto::EngineProfile& profile, EngineState& state);
 
-/// @return a digest by which a load names the profile that it belongs to.
+/// @return a digest by which a load refers to its profile.
 uint32_t profileDigest(const EngineState& state);
 
 }  // namespace fernmoor
--- a/src/engine/engine_state.h
+++ b/src/engine/engine_state.h
@@ -1,5 +1,5 @@
 /// @file
-/// What a node knows of a model engine at one moment; always somewhat out of date.
+/// A node's snapshot of a model engine's state; always somewhat out of date.
 #pragma once
 
 #include <cstdint>
@@ -12,10 +12,10 @@
 
 namespace fernmoor {
 
-/// Engines with a prefill or decode role do only that part; mixed ones do both.
+/// Engines with a prefill or decode role run only that phase; mixed ones run both.
 enum class EngineRole { kMixed, kPrefill, kDecode };
 
-/// Whether new work may go there. Only live engines get any.
+/// Whether an engine is eligible for new work. Only live engines are.
 enum class EngineStatus { kLive, kLoading, kLeaving, kSuspect, kDead };
 
 /// Load as the engine reported it, with a lag.
@@ -42,7 +42,7 @@
   EngineLoad load;
 };
 
-/// Where a request is placed: what the engine must still be when the request arrives.
+/// Where a request is placed, and the engine state that must still hold when it arrives.
 struct Placement {
   EngineId engine;
   SocketAddress address;
--- a/src/engine/owned_engines.h
+++ b/src/engine/owned_engines.h
@@ -13,7 +13,7 @@
 
 namespace fernmoor {
 
-/// What an owner tells of one engine for one prompt.
+/// An owner's answer about one engine for one prompt.
 struct EngineProbe {
   EngineId engine;
   Incarnation incarnation;
@@ -22,12 +22,12 @@
   EngineLoad load;
 };
 
-/// Measures of the views, for /metrics.
+/// Metrics of the views, for /metrics.
 struct OwnedEnginesSummary {
   size_t engines = 0;
   size_t blocks = 0;
   size_t memoryBytes = 0;
-  Duration oldestView{0};  ///< Time since the view that waited longest for events got some.
+  Duration oldestView{0};  ///< Age of the least recently updated view.
   CacheViewCounters counters;
 };
 
@@ -42,16 +42,17 @@
  public:
   explicit OwnedEngines(const Knobs& knobs) : knobs_(knobs) {}
 
-  /// Takes an engine over, or its newer state. Another incarnation or other weights empty its view.
+  /// Starts owning an engine, or updates its state. A changed incarnation or weights version
+  /// empties its view.
   void update(const EngineState& state, Time now);
-  /// Another node owns it now.
+  /// Stops owning an engine: another node owns it now.
   void drop(const EngineId& engine);
-  /// Takes cache events of an owned engine; others are ignored.
+  /// Applies cache events of an owned engine; events of other engines are ignored.
   void apply(const EngineId& engine, const CacheEventBatch& batch, Time now);
-  /// Learns from an answer how many blocks of its prompt the engine held.
+  /// Corrects the view from an answer that reports how many blocks of its prompt were cached.
   void confirm(const EngineId& engine, Incarnation incarnation, const BlockChain& chain,
                int64_t matchedBlocks);
-  /// Drops what has been doubtful for too long. Call it about once a second.
+  /// Drops blocks that have been doubtful for too long. Call it about once a second.
   void expire(Time now);
 
   /// @return the last event seen of the engine, 0 where it isn't owned.
--- a/src/engine/ownership_role.cpp
+++ b/src/engine/ownership_role.cpp
@@ -26,7 +26,7 @@
     }
     nextRefresh_ = now + knobs_.ownershipRefresh;
   }
-  // Asked outside the lock: membership's lock comes before this one.
+  // Queried without holding the lock: membership's lock ranks before this one.
   const NodeId self = membership_.self().life.node;
   std::vector<AliveNode> alive;
   for (const Member& member : membership_.members()) {
@@ -68,7 +68,7 @@
       inZone.push_back(node.node);
     }
   }
-  // A zone without a live node lends its engines to the others rather than leave them unseen.
+  // Engines of a zone without a live node are assigned to other zones' nodes, not left unowned.
   const auto chosen = rendezvousTop(
       stableHash(engine.value()), inZone.empty() ? std::move(anywhere) : std::move(inZone),
       kOwnersOfAnEngine, [](NodeId node) { return uint64_t{node.value()}; });
--- a/src/engine/ownership_role.h
+++ b/src/engine/ownership_role.h
@@ -1,8 +1,8 @@
 /// @file
 /// Which node owns which engine: every engine has one owner and one warm second among the alive
-/// nodes of its zone, by rendezvous hashing over the members, so that nobody needs to be asked.
-/// Ownership is advisory: two nodes that both think they own an engine make views less exact and
-/// nothing worse. Orders to engines need a lease besides, see engine_lease.h and docs/OWNERSHIP.md.
+/// nodes of its zone, by rendezvous hashing over the members, so that no messages are needed.
+/// Ownership is advisory: two nodes that both think they own an engine only make views
+/// less exact. Orders to engines also need a lease, see engine_lease.h and docs/OWNERSHIP.md.
 #pragma once
 
 #include <map>
@@ -17,19 +17,19 @@
 
 namespace fernmoor {
 
-/// Who looks after one engine.
+/// The nodes responsible for one engine.
 struct EngineOwners {
   std::optional<NodeId> owner;   ///< None where no node is alive.
-  std::optional<NodeId> second;  ///< Follows the engine too, to take over at once.
+  std::optional<NodeId> second;  ///< Warm standby: tracks the engine too, to take over at once.
   friend bool operator==(const EngineOwners& a, const EngineOwners& b) {
     return a.owner == b.owner && a.second == b.second;
   }
 };
 
-/// What this node has to do with an engine.
+/// This node's responsibility for an engine.
 enum class OwnershipDuty { kNone, kOwner, kSecond };
 
-/// Sends and takes no messages: the assignment follows from the members alone. Thread-safe.
+/// Sends and handles no messages: the assignment follows from the members alone. Thread-safe.
 class OwnershipRole : public Role {
  public:
   /// @param membership outlives the role.
@@ -37,17 +37,17 @@
 
   void onMessage(NodeLife from, const proto::Envelope& envelope, Time now,
                  MessageSender& sender) override;
-  /// Takes up changes of the members.
+  /// Applies membership changes.
   void onTick(Time now, MessageSender& sender) override;
 
-  /// Takes the engines of the platform's machine list. Leaving ones keep their owner until they are
-  /// gone from it.
+  /// Sets the engines from the platform's machine list. Leaving ones keep their owner until they
+  /// are removed from it.
   void setEngines(const std::vector<EngineAddress>& engines);
 
-  /// @return who looks after the engine; nobody where it is not known.
+  /// @return the nodes responsible for the engine; none if the engine is unknown.
   EngineOwners ownersOf(const EngineId& engine) const;
   std::optional<NodeId> ownerOf(const EngineId& engine) const { return ownersOf(engine).owner; }
-  /// @return what this node has to do with the engine.
+  /// @return this node's responsibility for the engine.
   OwnershipDuty dutyFor(const EngineId& engine) const;
   /// @return the engines that this node owns or seconds, by name.
   std::vector<EngineId> enginesWithDuty(OwnershipDuty duty) const;
--- a/src/engine/probe_facts.cpp
+++ b/src/engine/probe_facts.cpp
@@ -33,7 +33,7 @@
   for (size_t index = 0; index < sample.hashes.size(); ++index) {
     const auto found = facts_.find(keyOf(engineHash, sample.hashes[index]));
     if (found == facts_.end() || now - found->second.at > reuse_) {
-      continue;  // A deeper block that is known to be held tells of this one, too.
+      continue;  // A deeper block that is known to be held implies this one.
     }
     if (!found->second.held) {
       return held;
--- a/src/engine/probe_facts.h
+++ b/src/engine/probe_facts.h
@@ -1,6 +1,6 @@
 /// @file
-/// Answers of engines' owners that are still fresh enough to be used again: which sampled blocks an
-/// engine held or lacked.
+/// Cache of recent probe answers from engines' owners: which sampled blocks an engine held or
+/// lacked.
 #pragma once
 
 #include <deque>
@@ -19,9 +19,9 @@
  public:
   explicit ProbeFacts(const Knobs& knobs);
 
-  /// Notes that of the sample's hashes the first `matchedHashes` are held and the next is not.
+  /// Records that the first `matchedHashes` hashes of the sample are held and the next is not.
   void record(const EngineLife& life, const ChainSample& sample, size_t matchedHashes, Time now);
-  /// @return matched hashes of the sample as far as fresh answers tell it; none where the unknown
+  /// @return matched hashes of the sample as far as fresh answers cover it; none if the unknown
   /// part is longer than probeReuseSlack of the prompt.
   std::optional<size_t> matchedHashes(const EngineLife& life, const ChainSample& sample,
                                       Time now) const;
@@ -44,7 +44,7 @@
   double slack_;
   size_t limit_;
   std::unordered_map<uint64_t, Fact> facts_;
-  std::deque<Expiry> order_;  ///< Oldest first; a renewed fact stands twice.
+  std::deque<Expiry> order_;  ///< Oldest first; a refreshed fact has two entries.
 };
 
 }  // namespace fernmoor
--- a/src/engine/probe_role.cpp
+++ b/src/engine/probe_role.cpp
@@ -8,11 +8,11 @@
 
 namespace {
 
-/// Bounds of what a message may make this node hold.
+/// Limits on the memory that a message may make this node use.
 constexpr int kHashLimit = 64;
 constexpr size_t kHeardLimit = 4096;
 constexpr size_t kPendingLimit = 16384;
-/// Times that a changed profile is sent.
+/// Number of times a changed profile is sent.
 constexpr int64_t kProfileRepetitions = 3;
 /// Pending queries are kept beyond the timeout so that late answers still serve later prompts.
 constexpr int64_t kLateFactor = 20;
@@ -61,7 +61,7 @@
   const RankedLock lock(mutex_);
   if (own) {
     result.known = true;
-    // A view of another life tells nothing of this one but that its cache was lost.
+    // A view of another incarnation only shows that this incarnation's cache was lost.
     result.matchedBlocks = own->incarnation == life.incarnation ? own->match.blocks : 0;
     result.doubtful = own->match.doubtful;
     ++counters_.enginesLocal;
@@ -170,7 +170,7 @@
   }
   const EngineLife& life = pending.engines[engine.index()];
   const bool sameLife = life.incarnation.value() == engine.incarnation();
-  // Another life's cache tells of this one only that it was lost.
+  // Another incarnation's cache only shows that this incarnation's cache was lost.
   const size_t matched =
       sameLife ? std::min<size_t>(engine.matched_hashes(), pending.sample.hashes.size()) : 0;
   facts_.record(life, pending.sample, matched, now);
@@ -275,7 +275,7 @@
         decodeProfile(engine.profile(), heard->second);
       }
       if (profileDigest(heard->second) != engine.profile_digest()) {
-        continue;  // The load is of another life or other weights; the profile will come.
+        continue;  // The load is of another incarnation or other weights; the profile will follow.
       }
       decodeLoad(engine.load(), now, heard->second.load);
       states.push_back(heard->second);
--- a/src/engine/probe_role.h
+++ b/src/engine/probe_role.h
@@ -1,7 +1,7 @@
 /// @file
-/// Questions to engines' owners: how much of a prompt does an engine hold, and how loaded is it?
-/// Owners also tell the loads of their engines each second. Questions carry sampled hashes only,
-/// and answers are used again for a short time, so that the cost stays within the control budget.
+/// Probes engines' owners for how much of a prompt an engine has cached and how loaded it is.
+/// Owners also push the loads of their engines each second. Probes carry sampled hashes only, and
+/// answers are reused for a short time, so that the cost stays within the control budget.
 #pragma once
 
 #include <functional>
@@ -22,7 +22,7 @@
 struct ProbeCounters {
   uint64_t questions = 0;        ///< Prompts asked about.
   uint64_t queriesSent = 0;      ///< Messages to owners.
-  uint64_t enginesReused = 0;    ///< Answered from former answers.
+  uint64_t enginesReused = 0;    ///< Answered from cached answers.
   uint64_t enginesLocal = 0;     ///< Answered by this node's own views.
   uint64_t answersReceived = 0;  ///< In time or late.
   uint64_t queriesTimedOut = 0;
@@ -34,18 +34,18 @@
  public:
   /// @return the engine's owner, or none while it isn't known.
   using OwnerLookup = std::function<std::optional<NodeId>(const EngineId&)>;
-  /// @return the nodes that owned engines' loads are told to: those of this node's zone.
+  /// @return the nodes to which owned engines' loads are pushed: those of this node's zone.
   using Audience = std::function<std::vector<NodeId>()>;
-  /// Takes an engine's state from a push or an answer; zone and address are not filled in.
+  /// Receives an engine's state from a push or an answer; zone and address are not filled in.
   using StateListener = std::function<void(const EngineState&)>;
 
   /// @param owned outlives the role.
   ProbeRole(NodeId self, OwnedEngines& owned, OwnerLookup ownerOf, Audience audience,
             StateListener onState, const Knobs& knobs);
 
-  /// Asks what the engines hold of the chain. Answers that are known already are in the waiter at
-  /// once. The caller waits for completion for at most the knob probeTimeout, and goes on with
-  /// what came.
+  /// Probes how much of the chain each engine holds. Answers known already are in the waiter at
+  /// once. The caller waits for completion for at most the knob probeTimeout, and proceeds with
+  /// the answers received by then.
   std::shared_ptr<ProbeWaiter> ask(const BlockChain& chain, const std::vector<EngineLife>& engines,
                                    Time now, MessageSender& sender);
 
@@ -63,12 +63,12 @@
     std::vector<EngineLife> engines;
     Time sentAt;
   };
-  /// What an answer brought, to be passed on without the lock.
+  /// Content of an answer, to be passed on without holding the lock.
   struct AnswerOutcome {
     std::vector<ProbeResult> results;
     std::vector<EngineState> states;
   };
-  /// What a push needs to know of an engine told of before.
+  /// Per-engine push state for an engine announced before.
   struct ToldProfile {
     uint32_t digest = 0;
     int64_t repetitionsLeft = 0;  ///< The profile is sent a few times, since messages get lost.
--- a/src/engine/probe_waiter.h
+++ b/src/engine/probe_waiter.h
@@ -1,5 +1,5 @@
 /// @file
-/// Answers of engines' owners to one question, as they come in.
+/// Collects the answers of engines' owners to one probe.
 #pragma once
 
 #include <functional>
@@ -10,7 +10,7 @@
 
 namespace fernmoor {
 
-/// What is known of one engine for one prompt.
+/// Probe result of one engine for one prompt.
 struct ProbeResult {
   EngineLife life;
   bool known = false;         ///< False where no owner answered (yet).
@@ -18,14 +18,14 @@
   bool doubtful = false;      ///< Known only from before a gap in the engine's events.
 };
 
-/// The answers to one question as they come in. Thread-safe.
+/// The answers received so far to one probe. Thread-safe.
 class ProbeWaiter {
  public:
   /// Called once, on the thread that completes the answers, with no lock held.
   using CompletionHandler = std::function<void()>;
 
-  /// @param results one for each engine asked for, with what is known already.
-  /// @param owners answers that are still to come.
+  /// @param results one per engine probed, with what is known already.
+  /// @param owners number of owners whose answers are pending.
   ProbeWaiter(std::vector<ProbeResult> results, size_t owners)
       : results_(std::move(results)), pendingOwners_(owners) {}
 
@@ -36,7 +36,7 @@
   /// Sets the handler; it is called at once where the answers are complete.
   void onComplete(CompletionHandler handler);
 
-  /// Takes one owner's answer; for the role.
+  /// Adds one owner's answer; called by ProbeRole.
   void add(const std::vector<ProbeResult>& answers);
 
  private:
--- a/test/engine/cache_view_test.cpp
+++ b/test/engine/cache_view_test.cpp
@@ -96,7 +96,7 @@
   view.apply(storedBatch(2, 1, chainOf(3000, 2)), kNow);
   CHECK(view.match(chain).blocks == 0);
   CHECK(view.match(chainOf(3000, 2)).blocks == 2);
-  view.apply(storedBatch(1, 9, chain), kNow);  // Late, from the former life.
+  view.apply(storedBatch(1, 9, chain), kNow);  // Late, from the previous incarnation.
   CHECK(view.match(chain).blocks == 0);
   view.alignTo(Incarnation(2), WeightsVersion(2));
   CHECK(view.blockCount() == 0);
--- a/test/engine/probe_role_test.cpp
+++ b/test/engine/probe_role_test.cpp
@@ -108,7 +108,7 @@
     CHECK(ask(related)->results()[0].matchedBlocks == 64);  // Block 72 is known to be missing.
     related.hashes.resize(64);
     related.hashes.resize(128, 5);
-    CHECK_FALSE(ask(related)->results()[0].known);  // What follows block 64 was never asked for.
+    CHECK_FALSE(ask(related)->results()[0].known);  // Blocks after 64 were never probed.
     CHECK(ask(chain)->isComplete());
     CHECK(ask(chain)->results()[0].matchedBlocks == 64);
     cluster.run(knobs.probeReuse);
@@ -145,7 +145,7 @@
 
 TEST_CASE("a node of the target's size stays within the control budget") {
   // 54 nodes in a zone, 21 requests a second and 2 questions each, 1 engine in 0.63 nodes (86 in a
-  // zone): all scaled to one owner and one asker.
+  // zone): all scaled to one owner and one prober.
   ProbeFixture fixture(54);
   fixture.cluster.run(Duration(20000000));
   fixture.cluster.network().resetTraffic();
