--- a/src/engine/engine_client.cpp
+++ b/src/engine/engine_client.cpp
@@ -27,7 +27,7 @@
 /// Uses the engine's own error message if it sent one.
 Error refusalOf(const HttpAnswer& answer) {
   Error error{ErrorKind::kUnavailable,
-              "the engine answered status " + std::to_string(answer.status) + ".",
+              "the engine answered with HTTP status " + std::to_string(answer.status) + ".",
               RunState::kUnknown, std::nullopt};
   const auto parsed = parseJsonObject(answer.body);
   if (!isOk(parsed)) {
--- a/src/engine/engine_directory.cpp
+++ b/src/engine/engine_directory.cpp
@@ -33,12 +33,12 @@
 void EngineDirectory::update(const EngineState& state, Time now) {
   const RankedLock lock(mutex_);
   Entry& entry = entries_[state.id];
-  const bool sameLife = entry.state.incarnation == state.incarnation;
+  const bool sameIncarnation = entry.state.incarnation == state.incarnation;
   if (state.incarnation < entry.state.incarnation ||
-      (sameLife && state.load.measuredAt < entry.state.load.measuredAt)) {
+      (sameIncarnation && state.load.measuredAt < entry.state.load.measuredAt)) {
     return;
   }
-  if (!sameLife) {
+  if (!sameIncarnation) {
     entry.failures = 0;
     entry.suspectUntil = Time{};
   }
--- a/src/engine/engine_directory.h
+++ b/src/engine/engine_directory.h
@@ -53,7 +53,7 @@
  private:
   struct Entry {
     EngineState state;
-    bool reported = false;  ///< A state report came since it was listed or went stale.
+    bool reported = false;  ///< A state report arrived since it was listed or went stale.
     bool leaving = false;
     bool drained = false;
     int64_t failures = 0;
--- a/src/engine/engine_lease.cpp
+++ b/src/engine/engine_lease.cpp
@@ -34,8 +34,8 @@
     return record;
   } catch (const Poco::Exception& exception) {
     return Error{ErrorKind::kInvalidRequest,
-                 "an engine's lease can't be read (" + exception.displayText() +
-                     "); delete the object, the next holder writes a new one.",
+                 "the engine's lease object is malformed (" + exception.displayText() +
+                     "); delete it, and the next holder writes a new one.",
                  RunState::kNotRun, std::nullopt};
   }
 }
@@ -53,28 +53,29 @@
   seen_.reset();
   if (object) {
     const Result<LeaseRecord> record = readLeaseRecord(object->valueJson);
-    // An unreadable lease is assumed to have the same duration as our own.
+    // An unreadable lease is treated as another holder's lease of our own duration, and waited
+    // out.
     seen_ = isOk(record) ? valueOf(record) : LeaseRecord{{}, knobs_.engineLeaseDuration};
   }
 }
 
-Time EngineLease::endOfOwn() const {
+Time EngineLease::ownExpiry() const {
   return heldSince_ + knobs_.engineLeaseDuration - knobs_.engineLeaseMargin;
 }
 
 LeaseStep EngineLease::nextStep(Time now) const {
-  if (held_ && now < endOfOwn() - knobs_.engineLeaseDuration / 2) {
+  if (held_ && now < ownExpiry() - knobs_.engineLeaseDuration / 2) {
     return LeaseStep{LeaseStep::Kind::kNothing, {}, {}};
   }
-  const LeaseStep take{LeaseStep::Kind::kTake, seenVersion_, {}};
+  const LeaseStep acquireStep{LeaseStep::Kind::kAcquire, seenVersion_, {}};
   if (!seen_ || seen_->holder == self_) {
-    return take;
+    return acquireStep;
   }
   const Time end = firstSeen_ + seen_->duration + knobs_.engineLeaseMargin;
-  return now >= end ? take : LeaseStep{LeaseStep::Kind::kWait, {}, end};
+  return now >= end ? acquireStep : LeaseStep{LeaseStep::Kind::kWait, {}, end};
 }
 
-void EngineLease::onTaken(CollectionRevision version, Time sentAt) {
+void EngineLease::onAcquired(CollectionRevision version, Time sentAt) {
   held_ = version;
   heldSince_ = sentAt;
   seenVersion_ = version;
@@ -82,15 +83,15 @@
   seen_ = LeaseRecord{self_, knobs_.engineLeaseDuration};
 }
 
-void EngineLease::onFailed() {
+void EngineLease::onWriteFailed() {
   held_.reset();
 }
 
 Result<FencingToken> EngineLease::authorize(Time now) const {
-  if (!held_ || now >= endOfOwn()) {
+  if (!held_ || now >= ownExpiry()) {
     return Error{ErrorKind::kConflict,
-                 "this node holds no lease on the engine, or it lapsed; take the lease anew "
-                 "before giving orders.",
+                 "this node holds no lease on the engine, or its lease expired; acquire the lease "
+                 "again before sending orders.",
                  RunState::kNotRun, std::nullopt};
   }
   return FencingToken(held_->value());
--- a/src/engine/engine_lease.h
+++ b/src/engine/engine_lease.h
@@ -2,8 +2,8 @@
 /// The lease that permits a node to send orders (load weights, change role) to one engine: stored
 /// in the platform's collection "engine-leases", one object per engine. The object's version is the
 /// fencing token; the engine rejects a token below the highest that it has seen, and the holder
-/// stops using its lease once it expired on the holder's own clock. C. Gray, D. Cheriton, "Leases",
-/// SOSP 1989.
+/// stops using its lease once it has expired on the holder's own clock. C. Gray, D. Cheriton,
+/// "Leases", SOSP 1989.
 #pragma once
 
 #include <optional>
@@ -32,11 +32,11 @@
 struct LeaseStep {
   enum class Kind {
     kNothing,  ///< The lease is held and not near expiry.
-    kTake,     ///< Write the object under the expected version.
+    kAcquire,  ///< Write the object under the expected version.
     kWait,     ///< Another holder's lease may still run.
   };
   Kind kind = Kind::kNothing;
-  CollectionRevision expectedVersion;  ///< For kTake.
+  CollectionRevision expectedVersion;  ///< For kAcquire.
   Time until;                          ///< For kWait: read the object again then.
 };
 
@@ -52,18 +52,19 @@
   void onRead(const std::optional<PlatformObject>& object, Time now);
   /// @return what to do after a read.
   LeaseStep nextStep(Time now) const;
-  /// The write took effect.
+  /// Records that the write took effect.
   /// @param sentAt when it was sent: the lease runs from then.
-  void onTaken(CollectionRevision version, Time sentAt);
-  /// The write failed, or may have: nothing is held until a later write is known to have worked.
-  void onFailed();
+  void onAcquired(CollectionRevision version, Time sentAt);
+  /// Records that the write failed or may have failed: no lease is held until a later write is
+  /// known to have succeeded.
+  void onWriteFailed();
 
   /// @return the token for an order that is sent now, or kConflict if no lease is held or
   ///     it expired.
   Result<FencingToken> authorize(Time now) const;
 
  private:
-  Time endOfOwn() const;
+  Time ownExpiry() const;
 
   NodeLife self_;
   Knobs knobs_;
--- a/src/engine/engine_lease_keeper.cpp
+++ b/src/engine/engine_lease_keeper.cpp
@@ -20,14 +20,14 @@
   switch (valueOf(step).kind) {
     case LeaseStep::Kind::kNothing:
       return authorize(engine);
-    case LeaseStep::Kind::kTake:
-      return take(engine, valueOf(step).expectedVersion);
+    case LeaseStep::Kind::kAcquire:
+      return writeLease(engine, valueOf(step).expectedVersion);
     case LeaseStep::Kind::kWait:
       break;
   }
   return Error{ErrorKind::kConflict,
                "another node may hold the lease on engine " + engine.value() +
-                   "; try again when it has lapsed.",
+                   "; retry after it has expired.",
                RunState::kNotRun, valueOf(step).until - clock_.now()};
 }
 
@@ -43,8 +43,8 @@
   return lease.nextStep(clock_.now());
 }
 
-Result<FencingToken> EngineLeaseKeeper::take(const EngineId& engine,
-                                             CollectionRevision expectedVersion) {
+Result<FencingToken> EngineLeaseKeeper::writeLease(const EngineId& engine,
+                                                   CollectionRevision expectedVersion) {
   ObjectChange change{ObjectName(engine.value()), expectedVersion,
                       writeLeaseRecord(LeaseRecord{self_, knobs_.engineLeaseDuration})};
   ChangeId changeId;
@@ -55,22 +55,22 @@
                  std::to_string(self_.incarnation.value()) + "-" + std::to_string(++lastChange_));
   }
   const Time sentAt = clock_.now();
-  Result<CollectionRevision> taken = platform_.put(engineLeaseCollection(), change, changeId);
-  if (!isOk(taken) && errorOf(taken).runState == RunState::kUnknown) {
+  Result<CollectionRevision> written = platform_.put(engineLeaseCollection(), change, changeId);
+  if (!isOk(written) && errorOf(written).runState == RunState::kUnknown) {
     // Only a write known to have succeeded counts; one that arrives later is seen at the next read.
     const auto found = platform_.findChange(engineLeaseCollection(), changeId);
-    taken = isOk(found) ? found : taken;
+    written = isOk(found) ? found : written;
   }
   {
     const RankedLock lock(mutex_);
-    if (isOk(taken)) {
-      leaseOf(engine).onTaken(valueOf(taken), sentAt);
+    if (isOk(written)) {
+      leaseOf(engine).onAcquired(valueOf(written), sentAt);
     } else {
-      leaseOf(engine).onFailed();
+      leaseOf(engine).onWriteFailed();
     }
   }
-  if (!isOk(taken)) {
-    return errorOf(taken);
+  if (!isOk(written)) {
+    return errorOf(written);
   }
   return authorize(engine);
 }
--- a/src/engine/engine_lease_keeper.h
+++ b/src/engine/engine_lease_keeper.h
@@ -33,7 +33,7 @@
  private:
   /// Reads the object into the lease; @return what to do next.
   Result<LeaseStep> read(const EngineId& engine);
-  Result<FencingToken> take(const EngineId& engine, CollectionRevision expectedVersion);
+  Result<FencingToken> writeLease(const EngineId& engine, CollectionRevision expectedVersion);
   EngineLease& leaseOf(const EngineId& engine);
 
   ObjectStoreClient& platform_;
--- a/src/engine/owned_engines.cpp
+++ b/src/engine/owned_engines.cpp
@@ -99,13 +99,13 @@
   return summary;
 }
 
-std::optional<OwnedViewFacts> OwnedEngines::viewOf(const EngineId& engine) const {
+std::optional<OwnedViewStats> OwnedEngines::viewOf(const EngineId& engine) const {
   const RankedLock lock(mutex_);
   const auto found = entries_.find(engine);
   if (found == entries_.end()) {
     return std::nullopt;
   }
-  return OwnedViewFacts{found->second.view.blockCount(), found->second.view.updatedAt()};
+  return OwnedViewStats{found->second.view.blockCount(), found->second.view.updatedAt()};
 }
 
 }  // namespace fernmoor
--- a/src/engine/owned_engines.h
+++ b/src/engine/owned_engines.h
@@ -32,7 +32,7 @@
 };
 
 /// Size and age of one owned engine's view.
-struct OwnedViewFacts {
+struct OwnedViewStats {
   size_t blocks = 0;
   Time updatedAt;
 };
@@ -63,7 +63,7 @@
   std::optional<EngineProbe> probe(const EngineId& engine, const ChainSample& sample) const;
   OwnedEnginesSummary summary(Time now) const;
   /// @return none where the engine isn't owned.
-  std::optional<OwnedViewFacts> viewOf(const EngineId& engine) const;
+  std::optional<OwnedViewStats> viewOf(const EngineId& engine) const;
 
  private:
   struct Entry {
--- a/src/engine/ownership_role.cpp
+++ b/src/engine/ownership_role.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-constexpr size_t kOwnersOfAnEngine = 2;
+constexpr size_t kOwnersPerEngine = 2;
 
 }  // namespace
 
@@ -71,7 +71,7 @@
   // Engines of a zone without a live node are assigned to other zones' nodes, not left unowned.
   const auto chosen = rendezvousTop(
       stableHash(engine.value()), inZone.empty() ? std::move(anywhere) : std::move(inZone),
-      kOwnersOfAnEngine, [](NodeId node) { return uint64_t{node.value()}; });
+      kOwnersPerEngine, [](NodeId node) { return uint64_t{node.value()}; });
   EngineOwners owners;
   if (!chosen.empty()) {
     owners.owner = chosen[0];
--- a/src/engine/probe_role.cpp
+++ b/src/engine/probe_role.cpp
@@ -10,12 +10,12 @@
 
 /// Limits on the memory that a message may make this node use.
 constexpr int kHashLimit = 64;
-constexpr size_t kHeardLimit = 4096;
+constexpr size_t kRemoteEngineLimit = 4096;
 constexpr size_t kPendingLimit = 16384;
 /// Number of times a changed profile is sent.
 constexpr int64_t kProfileRepetitions = 3;
 /// Pending queries are kept beyond the timeout so that late answers still serve later prompts.
-constexpr int64_t kLateFactor = 20;
+constexpr int64_t kPendingRetentionFactor = 20;
 
 }  // namespace
 
@@ -34,20 +34,20 @@
                                             MessageSender& sender) {
   const ChainSample sample = sampleChain(chain, static_cast<size_t>(knobs_.sampledHashes));
   std::vector<ProbeResult> results;
-  std::map<NodeId, std::vector<EngineLife>> toAsk;
+  std::map<NodeId, std::vector<EngineLife>> enginesByOwner;
   for (const EngineLife& life : engines) {
     results.push_back(knownResult(life, sample, now));
     const auto owner = results.back().known ? std::nullopt : ownerOf_(life.engine);
     if (owner && *owner != self_) {
-      toAsk[*owner].push_back(life);
+      enginesByOwner[*owner].push_back(life);
     }
   }
-  auto waiter = std::make_shared<ProbeWaiter>(std::move(results), toAsk.size());
+  auto waiter = std::make_shared<ProbeWaiter>(std::move(results), enginesByOwner.size());
   {
     const RankedLock lock(mutex_);
     ++counters_.questions;
   }
-  for (auto& entry : toAsk) {
+  for (auto& entry : enginesByOwner) {
     sendQuery(entry.first, PendingQuery{waiter, entry.first, sample, std::move(entry.second), now},
               sender);
   }
@@ -154,7 +154,7 @@
     ++counters_.answersReceived;
     waiter = pending.waiter;
     for (const proto::ProbedEngine& engine : answer.engines()) {
-      takeAnswer(engine, pending, now, outcome);
+      processAnswer(engine, pending, now, outcome);
     }
   }
   for (const EngineState& state : outcome.states) {
@@ -163,16 +163,16 @@
   waiter->add(outcome.results);
 }
 
-void ProbeRole::takeAnswer(const proto::ProbedEngine& engine, const PendingQuery& pending, Time now,
-                           AnswerOutcome& outcome) {
+void ProbeRole::processAnswer(const proto::ProbedEngine& engine, const PendingQuery& pending,
+                              Time now, AnswerOutcome& outcome) {
   if (engine.index() >= pending.engines.size()) {
     return;
   }
   const EngineLife& life = pending.engines[engine.index()];
-  const bool sameLife = life.incarnation.value() == engine.incarnation();
+  const bool sameIncarnation = life.incarnation.value() == engine.incarnation();
   // Another incarnation's cache only shows that this incarnation's cache was lost.
   const size_t matched =
-      sameLife ? std::min<size_t>(engine.matched_hashes(), pending.sample.hashes.size()) : 0;
+      sameIncarnation ? std::min<size_t>(engine.matched_hashes(), pending.sample.hashes.size()) : 0;
   facts_.record(life, pending.sample, matched, now);
   ProbeResult result;
   result.life = life;
@@ -180,10 +180,11 @@
   result.matchedBlocks = matched == 0 ? 0 : pending.sample.depthOf(matched - 1);
   result.doubtful = engine.doubtful();
   outcome.results.push_back(result);
-  const auto heard = heard_.find(life.engine);
-  if (heard != heard_.end() && heard->second.incarnation.value() == engine.incarnation()) {
-    decodeLoad(engine.load(), now, heard->second.load);
-    outcome.states.push_back(heard->second);
+  const auto remote = remoteEngines_.find(life.engine);
+  if (remote != remoteEngines_.end() &&
+      remote->second.incarnation.value() == engine.incarnation()) {
+    decodeLoad(engine.load(), now, remote->second.load);
+    outcome.states.push_back(remote->second);
   }
 }
 
@@ -208,7 +209,7 @@
 void ProbeRole::dropTimedOut(Time now) {
   const RankedLock lock(mutex_);
   for (auto query = pending_.begin(); query != pending_.end();) {
-    if (now - query->second.sentAt > knobs_.probeTimeout * kLateFactor) {
+    if (now - query->second.sentAt > knobs_.probeTimeout * kPendingRetentionFactor) {
       query = pending_.erase(query);
       ++counters_.queriesTimedOut;
     } else {
@@ -244,13 +245,13 @@
 
 bool ProbeRole::needsProfile(const EngineId& engine, uint32_t digest) {
   const RankedLock lock(mutex_);
-  ToldProfile& told = told_[engine];
-  if (told.digest != digest) {
-    told.digest = digest;
-    told.repetitionsLeft = kProfileRepetitions;
+  PushedProfile& pushed = pushedProfiles_[engine];
+  if (pushed.digest != digest) {
+    pushed.digest = digest;
+    pushed.repetitionsLeft = kProfileRepetitions;
   }
-  if (told.repetitionsLeft > 0) {
-    --told.repetitionsLeft;
+  if (pushed.repetitionsLeft > 0) {
+    --pushed.repetitionsLeft;
     return true;
   }
   return pushes_ % static_cast<uint64_t>(knobs_.loadProfileEvery) == 0;
@@ -262,23 +263,24 @@
     const RankedLock lock(mutex_);
     for (const proto::PushedEngine& engine : push.engines()) {
       const EngineId id(engine.engine());
-      auto heard = heard_.find(id);
-      if (engine.has_profile() && heard == heard_.end() && heard_.size() < kHeardLimit) {
-        heard = heard_.emplace(id, EngineState{}).first;
-        heard->second.id = id;
+      auto remote = remoteEngines_.find(id);
+      if (engine.has_profile() && remote == remoteEngines_.end() &&
+          remoteEngines_.size() < kRemoteEngineLimit) {
+        remote = remoteEngines_.emplace(id, EngineState{}).first;
+        remote->second.id = id;
       }
-      if (heard == heard_.end()) {
+      if (remote == remoteEngines_.end()) {
         continue;
       }
       if (engine.has_profile() &&
-          engine.profile().incarnation() >= heard->second.incarnation.value()) {
-        decodeProfile(engine.profile(), heard->second);
+          engine.profile().incarnation() >= remote->second.incarnation.value()) {
+        decodeProfile(engine.profile(), remote->second);
       }
-      if (profileDigest(heard->second) != engine.profile_digest()) {
+      if (profileDigest(remote->second) != engine.profile_digest()) {
         continue;  // The load is of another incarnation or other weights; the profile will follow.
       }
-      decodeLoad(engine.load(), now, heard->second.load);
-      states.push_back(heard->second);
+      decodeLoad(engine.load(), now, remote->second.load);
+      states.push_back(remote->second);
     }
   }
   for (const EngineState& state : states) {
--- a/src/engine/probe_role.h
+++ b/src/engine/probe_role.h
@@ -69,7 +69,7 @@
     std::vector<EngineState> states;
   };
   /// Per-engine push state for an engine announced before.
-  struct ToldProfile {
+  struct PushedProfile {
     uint32_t digest = 0;
     int64_t repetitionsLeft = 0;  ///< The profile is sent a few times, since messages get lost.
   };
@@ -81,8 +81,8 @@
   void onPush(const proto::LoadPush& push, Time now);
   void pushLoads(Time now, MessageSender& sender);
   bool isPushDue(Time now);
-  void takeAnswer(const proto::ProbedEngine& engine, const PendingQuery& pending, Time now,
-                  AnswerOutcome& outcome);
+  void processAnswer(const proto::ProbedEngine& engine, const PendingQuery& pending, Time now,
+                     AnswerOutcome& outcome);
   bool needsProfile(const EngineId& engine, uint32_t digest);
   void dropTimedOut(Time now);
 
@@ -99,8 +99,8 @@
   uint32_t lastQueryId_ = 0;
   Time lastPush_;
   uint64_t pushes_ = 0;
-  std::map<EngineId, ToldProfile> told_;
-  std::map<EngineId, EngineState> heard_;  ///< Profiles of other owners' engines.
+  std::map<EngineId, PushedProfile> pushedProfiles_;
+  std::map<EngineId, EngineState> remoteEngines_;  ///< Profiles of other owners' engines.
   ProbeCounters counters_;
 };
 
--- a/test/engine/engine_lease_keeper_test.cpp
+++ b/test/engine/engine_lease_keeper_test.cpp
@@ -21,7 +21,7 @@
   EngineLeaseKeeper first{platform, NodeLife{NodeId(1), Incarnation(1)}, clock, knobs};
   EngineLeaseKeeper second{platform, NodeLife{NodeId(2), Incarnation(1)}, clock, knobs};
 
-  void pass(Duration duration) { clock.advanceTo(clock.now() + duration); }
+  void advance(Duration duration) { clock.advanceTo(clock.now() + duration); }
   FencingToken tokenOf(Result<FencingToken> token) {
     REQUIRE(isOk(token));
     return valueOf(token);
@@ -38,10 +38,10 @@
   Fixture fixture;
   const FencingToken token = fixture.tokenOf(fixture.first.acquire(kEngine));
   CHECK(fixture.tokenOf(fixture.first.acquire(kEngine)) == token);
-  const auto refused = fixture.second.acquire(kEngine);
-  REQUIRE(isConflict(refused));
-  REQUIRE(errorOf(refused).retryAfter);
-  fixture.pass(*errorOf(refused).retryAfter);
+  const auto rejected = fixture.second.acquire(kEngine);
+  REQUIRE(isConflict(rejected));
+  REQUIRE(errorOf(rejected).retryAfter);
+  fixture.advance(*errorOf(rejected).retryAfter);
   CHECK(fixture.tokenOf(fixture.second.acquire(kEngine)) > token);
 }
 
@@ -50,7 +50,7 @@
   FencingToken token = fixture.tokenOf(fixture.first.acquire(kEngine));
   CHECK(isConflict(fixture.second.acquire(kEngine)));
   for (int round = 0; round < 10; ++round) {
-    fixture.pass(fixture.knobs.engineLeaseDuration / 2);
+    fixture.advance(fixture.knobs.engineLeaseDuration / 2);
     const FencingToken renewed = fixture.tokenOf(fixture.first.acquire(kEngine));
     CHECK(renewed > token);
     token = renewed;
@@ -58,14 +58,14 @@
   }
 }
 
-TEST_CASE("a paused holder whose lease lapsed is refused by itself and by the engine") {
+TEST_CASE("a paused holder whose lease lapsed is rejected by itself and by the engine") {
   Fixture fixture;
   standin::EngineModel engine(standin::EngineOptions{});
   const FencingToken old = fixture.tokenOf(fixture.first.acquire(kEngine));
-  fixture.pass(fixture.knobs.engineLeaseDuration + 2 * fixture.knobs.engineLeaseMargin);
+  fixture.advance(fixture.knobs.engineLeaseDuration + 2 * fixture.knobs.engineLeaseMargin);
   CHECK(isConflict(fixture.first.authorize(kEngine)));
   CHECK(isConflict(fixture.second.acquire(kEngine)));
-  fixture.pass(fixture.knobs.engineLeaseDuration + 2 * fixture.knobs.engineLeaseMargin);
+  fixture.advance(fixture.knobs.engineLeaseDuration + 2 * fixture.knobs.engineLeaseMargin);
   const FencingToken fresh = fixture.tokenOf(fixture.second.acquire(kEngine));
   const Time now = fixture.clock.now();
   const auto order = [&](FencingToken token) {
@@ -82,7 +82,7 @@
   fixture.platform.setDown(true);
   CHECK(isOk(fixture.first.authorize(kEngine)));
   CHECK_FALSE(isOk(fixture.second.acquire(kEngine)));
-  fixture.pass(fixture.knobs.engineLeaseDuration);
+  fixture.advance(fixture.knobs.engineLeaseDuration);
   CHECK(isConflict(fixture.first.authorize(kEngine)));
 }
 
@@ -90,7 +90,7 @@
   Fixture fixture;
   fixture.platform.loseAnswers(1);
   CHECK(isOk(fixture.first.acquire(kEngine)));
-  fixture.pass(3 * fixture.knobs.engineLeaseDuration);
+  fixture.advance(3 * fixture.knobs.engineLeaseDuration);
   fixture.platform.goDownAfterNextChange();
   CHECK_FALSE(isOk(fixture.first.acquire(kEngine)));
   CHECK(isConflict(fixture.first.authorize(kEngine)));
@@ -111,7 +111,7 @@
   const ObjectChange nonsense{ObjectName(kEngine.value()), {}, std::string("[1]")};
   REQUIRE(isOk(fixture.platform.put(engineLeaseCollection(), nonsense, ChangeId("x"))));
   CHECK(isConflict(fixture.first.acquire(kEngine)));
-  fixture.pass(fixture.knobs.engineLeaseDuration + fixture.knobs.engineLeaseMargin);
+  fixture.advance(fixture.knobs.engineLeaseDuration + fixture.knobs.engineLeaseMargin);
   CHECK(isOk(fixture.first.acquire(kEngine)));
 }
 
