--- a/src/engine/engine_directory.cpp
+++ b/src/engine/engine_directory.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// Doubling stops there; 2^6 times the first pause is past the longest pause anyway.
+/// Limit of the backoff exponent; 2^6 times the first pause exceeds the longest pause anyway.
 constexpr int64_t kMaxDoublings = 6;
 
 }  // namespace
@@ -33,19 +33,19 @@
 void EngineDirectory::update(const EngineState& state, Time now) {
   const RankedLock lock(mutex_);
   Entry& entry = entries_[state.id];
-  const bool sameLife = entry.state.incarnation == state.incarnation;
+  const bool sameIncarnation = entry.state.incarnation == state.incarnation;
   if (state.incarnation < entry.state.incarnation ||
-      (sameLife && state.load.measuredAt < entry.state.load.measuredAt)) {
+      (sameIncarnation && state.load.measuredAt < entry.state.load.measuredAt)) {
     return;
   }
-  if (!sameLife) {
+  if (!sameIncarnation) {
     entry.failures = 0;
     entry.suspectUntil = Time{};
   }
   const EngineState known = entry.state;
   entry.state = state;
   if (state.address.port == 0) {
-    // Reports of owners leave out what the machine list tells.
+    // Owners' reports omit the fields that come from the machine list.
     entry.state.address = known.address;
     entry.state.zone = known.zone;
   }
