--- a/test/peers/limit_directory_test.cpp
+++ b/test/peers/limit_directory_test.cpp
@@ -1,6 +1,6 @@
 /// @file
-/// Tests of src/peers/limit_directory.h on many nodes in virtual time; they measure the stated
-/// error of a tenant's limit in tokens over sliding windows.
+/// Tests of src/peers/limit_directory.h on many nodes in virtual time; they check the documented
+/// error bound of a tenant's token limit over sliding windows.
 #include "peers/limit_directory.h"
 
 #include <doctest/doctest.h>
@@ -20,8 +20,7 @@
 constexpr double kBurst = 124000;
 constexpr Duration kWindow{8000000};
 constexpr Duration kTick{100000};
-/// Tokens of a long prompt's request in the mean, as the callers of a flood warning service send
-/// it.
+/// Mean tokens of a request with a long prompt, as callers of a flood warning service send it.
 constexpr double kMeanCost = 9300;
 constexpr double kLargestCost = 40000;
 
@@ -55,7 +54,7 @@
   double most_ = 0;
 };
 
-/// What the users' rule allows in a window.
+/// Maximum that the documented bound allows in a window.
 double allowed(double rate, double burst) {
   return (rate * toSeconds(kWindow) + burst) * 1.1 + 110000;
 }
@@ -65,7 +64,7 @@
   explicit Fleet(uint64_t nodes, uint64_t serving, uint64_t seed = 1)
       : world(nodes), servingNodes(serving), random(seed) {
     tick();
-    advance(std::chrono::seconds(14));  // Nodes are up before the first requests arrive.
+    advance(std::chrono::seconds(14));  // Nodes have started before the first requests arrive.
     tick();
   }
 
@@ -114,12 +113,12 @@
     idealAdmitted = 0;
     meter = WindowMeter();
   }
-  /// Gives the nodes the picture in which only those of the same side live.
-  void showCut(const std::set<uint64_t>& cutOff) {
+  /// Sets at each node a membership that has only the nodes on its side of the partition.
+  void setPartitionedMembers(const std::set<uint64_t>& isolated) {
     for (uint64_t id = 1; id <= world.size(); ++id) {
       auto seen = std::make_shared<MembershipSnapshot>();
       for (uint64_t other = 1; other <= world.size(); ++other) {
-        if ((cutOff.count(id) > 0) == (cutOff.count(other) > 0)) {
+        if ((isolated.count(id) > 0) == (isolated.count(other) > 0)) {
           Member member;
           member.life.node = NodeId(other);
           seen->members.push_back(member);
@@ -135,7 +134,7 @@
   std::set<uint64_t> stopped;
   double offered = 0;
   double admitted = 0;
-  /// What one bucket that sees every request would do.
+  /// A single bucket that sees every request, for comparison.
   TokenBucket ideal{0, std::numeric_limits<double>::max(), Time()};
   double idealAdmitted = 0;
   WindowMeter meter;
@@ -143,7 +142,7 @@
 
 }  // namespace
 
-TEST_CASE("a tenant well under its limit in tokens is admitted") {
+TEST_CASE("at least 99.5 % of tokens are admitted at 0.56 of the limit") {
   for (const uint64_t nodes : {7U, 79U, 300U}) {
     Fleet fleet(nodes, std::min<uint64_t>(nodes, 15));
     const gateway::Tenant tenant = tenantOf(kRate, kBurst);
@@ -154,7 +153,7 @@
   }
 }
 
-TEST_CASE("a tenant that asks for many times its limit gets the limit in every window") {
+TEST_CASE("a tenant over its limit is admitted up to the limit in the fullest window") {
   for (const double times : {3.2, 4.7, 7.5}) {
     for (const uint64_t nodes : {79U, 300U}) {
       Fleet fleet(nodes, 15);
@@ -170,7 +169,7 @@
   }
 }
 
-TEST_CASE("a small tenant on many nodes with prompts larger than a node's part") {
+TEST_CASE("prompts larger than a node's share pass, and the limit holds") {
   Fleet fleet(79, 79);
   const gateway::Tenant tenant = tenantOf(29000, 29000);
   fleet.offer(tenant, 29000 * 0.56, std::chrono::seconds(30));
@@ -200,11 +199,12 @@
   CHECK(fleet.admitted >= fleet.offered * 0.98);
 }
 
-TEST_CASE("a limit holds when its owner dies, before and after the others know it") {
+TEST_CASE("a limit holds after its owner fails") {
   Fleet fleet(79, 15);
   const gateway::Tenant tenant = tenantOf(kRate, kBurst);
   fleet.offer(tenant, kRate * 2.6, std::chrono::seconds(9));
-  // Whoever owns it: the most that can be lost at once without being noticed.
+  // Stops all nodes that receive no requests, to include the owner: the most that can fail at once
+  // unnoticed.
   for (uint64_t id = 16; id <= 79; ++id) {
     fleet.world.silent.insert(NodeId(id));
     fleet.stopped.insert(id);
@@ -216,18 +216,18 @@
   fleet.resetCounts();
   fleet.offer(tenant, kRate * 0.5, std::chrono::seconds(5));
   MESSAGE("owner dead, the usual traffic: passed " << fleet.admitted / fleet.offered);
-  CHECK(fleet.admitted >= fleet.offered * 0.7);  // Each alone: half of its share, in lumps.
+  CHECK(fleet.admitted >= fleet.offered * 0.7);  // Each alone: half of its share, unevenly.
 }
 
 TEST_CASE("both sides of a partition together stay within a limit and serve the usual load") {
   Fleet fleet(79, 15);
   const gateway::Tenant tenant = tenantOf(kRate, kBurst);
   fleet.offer(tenant, kRate * 0.56, std::chrono::seconds(9));
-  const std::set<uint64_t> cutOff{1, 2, 3, 4, 5, 20, 21, 22, 23, 24, 25, 26, 27, 28};
-  fleet.world.cut(cutOff);
+  const std::set<uint64_t> isolated{1, 2, 3, 4, 5, 20, 21, 22, 23, 24, 25, 26, 27, 28};
+  fleet.world.cut(isolated);
   fleet.resetCounts();
   fleet.offer(tenant, kRate * 0.56, std::chrono::seconds(5));
-  fleet.showCut(cutOff);
+  fleet.setPartitionedMembers(isolated);
   fleet.offer(tenant, kRate * 0.56, std::chrono::seconds(7));
   MESSAGE("a third of the tenant's nodes cut off: passed " << fleet.admitted / fleet.offered);
   CHECK(fleet.admitted >= fleet.offered * 0.9);
@@ -237,7 +237,7 @@
   CHECK(fleet.meter.most() <= allowed(kRate, kBurst));
 }
 
-TEST_CASE("what did not run is given back, and a lower limit takes hold") {
+TEST_CASE("returned tokens are available again, and a lowered limit applies") {
   Fleet fleet(7, 7);
   const gateway::Tenant tenant = tenantOf(10000, 10000);
   const Time end = fleet.world.clock.now() + std::chrono::seconds(5);
@@ -251,16 +251,16 @@
       fleet.world.node(uint64_t(1)).giveBack(tenant, 5000);
     }
   }
-  CHECK(refused == 0);  // 50,000 a second were asked, none of it ran.
+  CHECK(refused == 0);  // 50,000 a second were requested, none of them ran.
   gateway::Tenant lower = tenantOf(5000, 5000);
   lower.limits.rowVersion = 2;
-  fleet.offer(lower, 40000, std::chrono::seconds(9));  // What was granted before is used up.
+  fleet.offer(lower, 40000, std::chrono::seconds(9));  // Uses up the tokens granted before.
   fleet.resetCounts();
   fleet.offer(lower, 40000, std::chrono::seconds(16));
   CHECK(fleet.meter.most() <= 5000 * 9 * 1.1 + kLargestCost);
 }
 
-TEST_CASE("a tenant without a limit costs no message") {
+TEST_CASE("a tenant without a limit causes no messages") {
   Fleet fleet(7, 7);
   const int before = fleet.world.messages;
   CHECK(isOk(fleet.world.node(uint64_t(1)).acquire(tenantOf(0, 0), 1e6)));
--- a/test/peers/mirror_role_test.cpp
+++ b/test/peers/mirror_role_test.cpp
@@ -1,7 +1,7 @@
 /// @file
-/// Tests of src/peers/mirror_role.h on the simulated network: readers pass on what the store holds,
-/// proofs of freshness never look younger than they are, and nodes without a reader read
-/// themselves.
+/// Tests of src/peers/mirror_role.h on the simulated network: readers distribute the state of the
+/// store, the time of the last confirmed read is never later than the read itself, and nodes that
+/// no reader serves read the store themselves.
 #include "peers/mirror_role.h"
 
 #include <doctest/doctest.h>
@@ -15,20 +15,20 @@
 
 namespace {
 
-/// One message on its way.
-struct Letter {
+/// A message that was sent and is not delivered yet.
+struct QueuedMessage {
   NodeId from;
   NodeId to;
   proto::Envelope envelope;
 };
 
-/// Nodes that know each other, a clock, and messages that the test delivers when it likes.
+/// Nodes that know each other, a clock, and a queue of messages that the test delivers.
 class RelayWorld {
  public:
   struct Node {
     Node(NodeId id, const RelayWorld& world, Time startedAt)
         : mirror([this](MirrorKind, const std::vector<MirrorEntry>& entries,
-                        bool) { heard += entries.size(); },
+                        bool) { receivedEntries += entries.size(); },
                  [](MirrorKind, uint64_t, Time) {}),
           wanted(WeightBounds{std::chrono::seconds(8), startedAt + std::chrono::seconds(3)}),
           role(id, mirror, wanted, revisionTimes, startedAt),
@@ -40,7 +40,7 @@
       size_t waitingBytes() const override { return waiting; }
       void send(NodeId to, const proto::Envelope& envelope) override {
         world_.pulls += envelope.mirror().question().pulls() ? 1 : 0;
-        world_.letters_.push_back(Letter{from_, to, envelope});
+        world_.messages_.push_back(QueuedMessage{from_, to, envelope});
       }
 
       size_t waiting = 0;  ///< Bytes that wait to be sent.
@@ -50,7 +50,7 @@
       const RelayWorld& world_;
     };
 
-    size_t heard = 0;
+    size_t receivedEntries = 0;
     StateMirror mirror;
     DesiredWeights wanted;
     RevisionTimes revisionTimes;
@@ -86,21 +86,21 @@
       return entry.second.role.duty(now) == duty;
     }));
   }
-  /// @return the greatest age of a proof of the rows at any node; none where one has no proof.
-  std::optional<Duration> oldestProof() const {
+  /// @return the greatest age of the last confirmed read of the rows at any node; none if a node
+  /// has no confirmed read.
+  std::optional<Duration> greatestReadAge() const {
     Duration oldest(0);
     for (const auto& entry : nodes_) {
-      const std::optional<Time> proof = entry.second.mirror.confirmedAt(MirrorKind::kRows);
-      if (!proof) {
+      const std::optional<Time> readAt = entry.second.mirror.confirmedAt(MirrorKind::kRows);
+      if (!readAt) {
         return std::nullopt;
       }
-      oldest = std::max(oldest, now - *proof);
+      oldest = std::max(oldest, now - *readAt);
     }
     return oldest;
   }
-  /// Lets time go on in steps of a tick; the store answers those readers that it serves, each 0.6
-  /// s.
-  /// @param read what happens at the store in each of those intervals.
+  /// Advances the time in steps of a tick; the store answers reads every 0.6 s.
+  /// @param read performs the reads of each of these intervals.
   template <class Read>
   void run(Duration duration, Read read) {
     constexpr Duration kTick{100000};
@@ -115,7 +115,7 @@
     }
   }
   /// A node that is no reader.
-  Node& plainNode() {
+  Node& findNonReader() {
     for (auto& entry : nodes_) {
       if (entry.second.role.duty(now) == ReadDuty::kFallback) {
         return entry.second;
@@ -131,7 +131,7 @@
       each.mirror.confirm(MirrorKind::kRows, revision, now);
     }
   }
-  /// The store answers the nodes that read instead of the readers.
+  /// Applies a read of the store at each node with the duty kFallback.
   void fallbackNodesRead(uint64_t revision, const std::string& text) {
     for (auto& [id, each] : nodes_) {
       if (each.role.duty(now) == ReadDuty::kFallback) {
@@ -147,34 +147,35 @@
       entry.second.role.onTick(now, entry.second.sender);
     }
   }
-  /// Delivers all letters, also those that they cause, after a delay each.
+  /// Delivers all queued messages and those sent in response, each after a delay.
   void deliver(Duration delay = Duration(1000)) {
-    while (!letters_.empty()) {
-      const Letter letter = letters_.front();
-      letters_.pop_front();
+    while (!messages_.empty()) {
+      const QueuedMessage message = messages_.front();
+      messages_.pop_front();
       now += delay;
-      if (lost.count(letter.to) > 0) {
+      if (lost.count(message.to) > 0) {
         continue;
       }
-      Node& to = node(letter.to.value());
-      to.role.onMessage(NodeLife{letter.from, Incarnation(1)}, letter.envelope, now, to.sender);
+      Node& to = node(message.to.value());
+      to.role.onMessage(NodeLife{message.from, Incarnation(1)}, message.envelope, now, to.sender);
     }
   }
 
   Time now{std::chrono::seconds(100)};
-  std::set<NodeId> lost;     ///< Nodes that get no messages.
-  size_t fallbackReads = 0;  ///< Reads of nodes that others should have told.
-  mutable size_t pulls = 0;  ///< Questions for all that the asker lacks.
+  std::set<NodeId> lost;     ///< Nodes to which no message is delivered.
+  size_t fallbackReads = 0;  ///< Reads by nodes with the duty kFallback.
+  mutable size_t pulls = 0;  ///< Requests for all entries that the sender lacks.
 
  private:
-  mutable std::deque<Letter> letters_;
+  mutable std::deque<QueuedMessage> messages_;
   std::map<uint64_t, Node> nodes_;
   std::shared_ptr<const MembershipSnapshot> snapshot_;
 };
 
 }  // namespace
 
-TEST_CASE("a few nodes read the store, and others that grow in number pass on what they read") {
+TEST_CASE(
+    "at most three nodes read the store, and the number of relays grows with the deployment") {
   CHECK(RelayWorld(1).readers().size() == 1);
   CHECK(RelayWorld(7).readers().size() == 2);
   CHECK(RelayWorld(96).readers().size() == 3);
@@ -195,19 +196,19 @@
   CHECK(zonesOfReaders.size() == 2);
 }
 
-TEST_CASE("a node that is told by a reader neither reads itself nor lacks anything") {
+TEST_CASE("a node that a reader serves has the current state and does not read the store") {
   RelayWorld world(7);
-  RelayWorld::Node& plain = world.plainNode();
+  RelayWorld::Node& nonReader = world.findNonReader();
   world.readersRead(5, "five");
   world.tickAll();
   world.deliver();
-  CHECK(plain.mirror.revision(MirrorKind::kRows) == 5);
-  CHECK(plain.role.duty(world.now) == ReadDuty::kNone);
+  CHECK(nonReader.mirror.revision(MirrorKind::kRows) == 5);
+  CHECK(nonReader.role.duty(world.now) == ReadDuty::kNone);
 }
 
-TEST_CASE("changes reach those that asked lately at once") {
+TEST_CASE("changes are sent at once to nodes that asked recently") {
   RelayWorld world(7);
-  RelayWorld::Node& plain = world.plainNode();
+  RelayWorld::Node& nonReader = world.findNonReader();
   world.readersRead(5, "five");
   world.tickAll();
   world.deliver();
@@ -217,20 +218,20 @@
     node.role.announce(MirrorKind::kRows, 5, world.now, node.sender);
   }
   world.deliver();
-  CHECK(plain.mirror.revision(MirrorKind::kRows) == 6);
+  CHECK(nonReader.mirror.revision(MirrorKind::kRows) == 6);
 }
 
-TEST_CASE("a change too long for a datagram is pulled once, and offered until it is") {
+TEST_CASE("a change too long for a datagram is offered until it is pulled, and pulled once") {
   RelayWorld world(7);
-  RelayWorld::Node& plain = world.plainNode();
-  std::string text;  // Varied, so that it stays long when it is packed.
+  RelayWorld::Node& nonReader = world.findNonReader();
+  std::string text;  // Varied, so that it stays long when it is compressed.
   for (int number = 0; number < 2000; ++number) {
     text += std::to_string(number * number % 9973);
   }
   world.readersRead(5, text);
   world.tickAll();
   world.deliver();
-  CHECK(plain.mirror.revision(MirrorKind::kRows) == 5);
+  CHECK(nonReader.mirror.revision(MirrorKind::kRows) == 5);
   const size_t pulls = world.pulls;
   CHECK(pulls == 5);  // By each node that is no reader.
   world.tickAll();
@@ -240,9 +241,9 @@
   CHECK(world.pulls == pulls);
 }
 
-TEST_CASE("a node whose queue is long puts off those that pull, and tells them proofs meanwhile") {
+TEST_CASE("a node with a long send queue defers pulls and still sends the last confirmed read") {
   RelayWorld world(7);
-  RelayWorld::Node& plain = world.plainNode();
+  RelayWorld::Node& nonReader = world.findNonReader();
   world.readersRead(5, "five");
   world.tickAll();
   world.deliver();
@@ -259,39 +260,39 @@
     world.tickAll();
     world.deliver();
   }
-  CHECK(plain.mirror.revision(MirrorKind::kRows) == 5);
-  CHECK(world.pulls <= 5 * 4);  // With each question at the most, not with each offer.
+  CHECK(nonReader.mirror.revision(MirrorKind::kRows) == 5);
+  CHECK(world.pulls <= 5 * 4);  // At most one per question, not one per offer.
   for (const NodeId reader : world.readers()) {
     world.node(reader.value()).sender.waiting = 0;
   }
   world.now += std::chrono::milliseconds(500);
   world.tickAll();
   world.deliver();
-  CHECK(plain.mirror.revision(MirrorKind::kRows) == 6);
+  CHECK(nonReader.mirror.revision(MirrorKind::kRows) == 6);
 }
 
-TEST_CASE("a proof counts from the question, however long the answer was under way") {
+TEST_CASE("a confirmed read is dated by the question, however long the answer took") {
   RelayWorld world(7);
-  RelayWorld::Node& plain = world.plainNode();
+  RelayWorld::Node& nonReader = world.findNonReader();
   world.readersRead(5, "five");
-  const Time provenAt = world.now;
+  const Time readAt = world.now;
   world.now += std::chrono::milliseconds(500);
   const Time askedAt = world.now;
   world.tickAll();
   world.deliver(std::chrono::milliseconds(20));
-  const auto proof = plain.mirror.confirmedAt(MirrorKind::kRows);
-  REQUIRE(proof.has_value());
-  CHECK(*proof <= askedAt - std::chrono::milliseconds(500));
-  CHECK(*proof <= provenAt);
+  const auto confirmedAt = nonReader.mirror.confirmedAt(MirrorKind::kRows);
+  REQUIRE(confirmedAt.has_value());
+  CHECK(*confirmedAt <= askedAt - std::chrono::milliseconds(500));
+  CHECK(*confirmedAt <= readAt);
 }
 
-TEST_CASE("what comes without a question proves nothing") {
+TEST_CASE("an unsolicited message does not advance the last confirmed read") {
   RelayWorld world(7);
-  RelayWorld::Node& plain = world.plainNode();
+  RelayWorld::Node& nonReader = world.findNonReader();
   world.readersRead(5, "five");
   world.tickAll();
   world.deliver();
-  const auto before = plain.mirror.confirmedAt(MirrorKind::kRows);
+  const auto before = nonReader.mirror.confirmedAt(MirrorKind::kRows);
   world.now += std::chrono::seconds(1);
   world.readersRead(6, "six");
   for (const NodeId reader : world.readers()) {
@@ -299,16 +300,16 @@
     node.role.announce(MirrorKind::kRows, 5, world.now, node.sender);
   }
   world.deliver();
-  CHECK(plain.mirror.confirmedAt(MirrorKind::kRows) == before);
+  CHECK(nonReader.mirror.confirmedAt(MirrorKind::kRows) == before);
 }
 
-TEST_CASE("a node whose readers are silent, or know nothing new, reads the store itself") {
+TEST_CASE("a node whose readers do not answer reads the store itself") {
   RelayWorld world(7);
-  RelayWorld::Node& plain = world.plainNode();
+  RelayWorld::Node& nonReader = world.findNonReader();
   world.readersRead(5, "five");
   world.tickAll();
   world.deliver();
-  CHECK(plain.role.duty(world.now) == ReadDuty::kNone);
+  CHECK(nonReader.role.duty(world.now) == ReadDuty::kNone);
   for (const NodeId reader : world.readers()) {
     world.lost.insert(reader);
   }
@@ -317,10 +318,10 @@
     world.tickAll();
     world.deliver(Duration(0));
   }
-  CHECK(plain.role.duty(world.now) == ReadDuty::kFallback);
+  CHECK(nonReader.role.duty(world.now) == ReadDuty::kFallback);
 }
 
-TEST_CASE("a reader that is silent is replaced by the other one") {
+TEST_CASE("nodes are served by the second reader if the first does not respond") {
   RelayWorld world(7);
   world.readersRead(5, "five");
   world.lost.insert(world.readers().front());
@@ -330,14 +331,14 @@
     world.tickAll();
     world.deliver(Duration(0));
   }
-  size_t told = 0;
+  size_t served = 0;
   for (uint64_t id = 1; id <= 7; ++id) {
-    told += world.node(id).role.duty(world.now) == ReadDuty::kNone ? 1 : 0;
+    served += world.node(id).role.duty(world.now) == ReadDuty::kNone ? 1 : 0;
   }
-  CHECK(told == 5);
+  CHECK(served == 5);
 }
 
-TEST_CASE("readers that the store turns away learn from the nodes that read instead of them") {
+TEST_CASE("readers that the store rejects receive the state from the fallback nodes") {
   RelayWorld world(7);
   world.readersRead(5, "five");
   world.tickAll();
@@ -356,9 +357,9 @@
   }
 }
 
-TEST_CASE("a node that reads instead of the readers goes on until they tell it again") {
+TEST_CASE("a fallback node reads the store without a pause until the readers serve it again") {
   RelayWorld world(7);
-  RelayWorld::Node& plain = world.plainNode();
+  RelayWorld::Node& nonReader = world.findNonReader();
   world.readersRead(5, "five");
   world.tickAll();
   world.deliver();
@@ -369,7 +370,7 @@
     world.fallbackNodesRead(6, "six");
     world.tickAll();
     world.deliver(Duration(0));
-    const bool reads = plain.role.duty(world.now) == ReadDuty::kFallback;
+    const bool reads = nonReader.role.duty(world.now) == ReadDuty::kFallback;
     pauses += hasBegun && !reads ? 1 : 0;
     hasBegun = hasBegun || reads;
   }
@@ -379,10 +380,10 @@
   world.now += std::chrono::milliseconds(500);
   world.tickAll();
   world.deliver();
-  CHECK(plain.role.duty(world.now) == ReadDuty::kNone);
+  CHECK(nonReader.role.duty(world.now) == ReadDuty::kNone);
 }
 
-TEST_CASE("the same few nodes stand by at any size, each in another place") {
+TEST_CASE("at most four nodes are standby at any deployment size, each with a distinct rank") {
   for (const uint64_t count : {1, 3, 7, 300}) {
     RelayWorld world(count);
     std::set<size_t> ranks;
@@ -400,14 +401,15 @@
   const auto readersRead = [&] { world.readersRead(5, "five"); };
   world.run(std::chrono::seconds(5), readersRead);
 
-  SUBCASE("nobody but the readers reads, and no proof gets old") {
+  SUBCASE(
+      "only the readers read the store, and the last confirmed read stays recent at all nodes") {
     CHECK(world.countWithDuty(ReadDuty::kReader) == 3);
     CHECK(world.countWithDuty(ReadDuty::kNone) == 297);
-    const std::optional<Duration> oldest = world.oldestProof();
+    const std::optional<Duration> oldest = world.greatestReadAge();
     REQUIRE(oldest);
     CHECK(*oldest < std::chrono::milliseconds(1700));
   }
-  SUBCASE("a change goes from the readers over the relays to all nodes at once") {
+  SUBCASE("a change reaches all nodes at once through readers and relays") {
     world.readersRead(6, "six");
     for (const NodeId reader : world.readers()) {
       RelayWorld::Node& node = world.node(reader.value());
@@ -418,13 +420,13 @@
       CHECK(world.node(id).mirror.revision(MirrorKind::kRows) == 6);
     }
   }
-  SUBCASE("while the store answers nobody, only relays ask it before three seconds have passed") {
+  SUBCASE("while the store is unavailable, only relays read it during the first 2.5 s") {
     world.run(std::chrono::milliseconds(2500), [] {});
     const size_t asking = world.countWithDuty(ReadDuty::kFallback);
     CHECK(asking > 0);
     CHECK(asking + world.readers().size() <= world.relays().size());
   }
-  SUBCASE("when the store is back after an outage, the readers relieve all that read themselves") {
+  SUBCASE("after an outage of the store the readers serve all fallback nodes again") {
     world.run(std::chrono::seconds(6), [] {});
     CHECK(world.countWithDuty(ReadDuty::kFallback) == 297);
     world.run(std::chrono::seconds(4), [&] {
@@ -433,51 +435,51 @@
     });
     CHECK(world.countWithDuty(ReadDuty::kFallback) == 0);
   }
-  SUBCASE("while the store turns the readers away, relays read for all") {
+  SUBCASE("while the store rejects the readers, relays read for all nodes") {
     const auto relaysRead = [&] { world.fallbackNodesRead(6, "six"); };
     world.run(std::chrono::seconds(5), relaysRead);
-    const std::optional<Duration> oldest = world.oldestProof();
+    const std::optional<Duration> oldest = world.greatestReadAge();
     REQUIRE(oldest);
     CHECK(*oldest < std::chrono::seconds(3));
     for (uint64_t id = 1; id <= 300; ++id) {
       CHECK(world.node(id).mirror.revision(MirrorKind::kRows) == 6);
     }
-    SUBCASE("and go on doing so at a cost that does not grow") {
+    SUBCASE("and the number of reads stays bounded") {
       world.fallbackReads = 0;
       world.run(std::chrono::seconds(6), relaysRead);
       CHECK(world.countWithDuty(ReadDuty::kFallback) < world.relays().size());
       CHECK(world.fallbackReads <= 10 * world.relays().size());
-      CHECK(*world.oldestProof() < std::chrono::seconds(3));
+      CHECK(*world.greatestReadAge() < std::chrono::seconds(3));
     }
   }
 }
 
 TEST_CASE("nodes that start together") {
-  constexpr std::chrono::milliseconds kMoment(200);
+  constexpr std::chrono::milliseconds kShortlyAfterStart(200);
   constexpr std::chrono::milliseconds kSettled(1100);
   constexpr std::chrono::milliseconds kLate(3100);
   RelayWorld world(300, Time{std::chrono::seconds(100)});
 
-  SUBCASE("read each kind once and do not follow the store before they know who does") {
-    world.now += kMoment;
+  SUBCASE("have the start duty until the readers are determined") {
+    world.now += kShortlyAfterStart;
     CHECK(world.countWithDuty(ReadDuty::kStart) == 300);
     world.now += kSettled;
     CHECK(world.countWithDuty(ReadDuty::kReader) == 3);
     CHECK(world.countWithDuty(ReadDuty::kStart) == 297);
   }
-  SUBCASE("are relieved by the readers") {
+  SUBCASE("are served by the readers") {
     world.now += kSettled;
     world.run(std::chrono::seconds(2), [&] { world.readersRead(5, "five"); });
     CHECK(world.countWithDuty(ReadDuty::kReader) == 3);
     CHECK(world.countWithDuty(ReadDuty::kNone) == 297);
   }
-  SUBCASE("read by themselves where nobody tells them anything") {
+  SUBCASE("read the store themselves if no node serves them") {
     world.now += kLate;
     CHECK(world.countWithDuty(ReadDuty::kFallback) == 297);
   }
 }
 
-TEST_CASE("a node that knows no other one reads the store") {
+TEST_CASE("a node without peers reads the store") {
   RelayWorld world(1, Time{std::chrono::seconds(100)});
   CHECK(world.node(1).role.duty(world.now) == ReadDuty::kStart);
   world.now += std::chrono::milliseconds(1100);
