--- a/src/claim/claim_coordinator.cpp
+++ b/src/claim/claim_coordinator.cpp
@@ -28,7 +28,7 @@
       rules_(rules),
       random_(seed) {}
 
-int64_t ClaimCoordinator::wall(Time now) const {
+int64_t ClaimCoordinator::wallMicrosecondsAt(Time now) const {
   return wallMicrosecondsAtZero_ + now.time_since_epoch().count();
 }
 
@@ -58,7 +58,7 @@
                                     MessageSender& sender) {
   const ClaimTicket ticket(++lastTicket_);
   // Three times the skew: two between the nodes, one that each node allows.
-  if (key.birthMicroseconds > wall(now) + 3 * knobs_.claimClockSkew.count()) {
+  if (key.birthMicroseconds > wallMicrosecondsAt(now) + 3 * knobs_.claimClockSkew.count()) {
     resolutions_.push_back({ticket, claimRefusal::bornInFuture(RunState::kNotRun, std::nullopt)});
     return ticket;
   }
@@ -154,7 +154,7 @@
   }
 }
 
-void ClaimCoordinator::decide(Attempt& attempt, Time now, MessageSender& sender) {
+void ClaimCoordinator::evaluateVotes(Attempt& attempt, Time now, MessageSender& sender) {
   dropStaleVotes(attempt);
   size_t granted = 0;
   size_t against = 0;
@@ -210,7 +210,7 @@
     return ClaimBusy{jitteredRetryDelay()};
   }
   if (tooNew) {
-    const Duration early(attempt.key.birthMicroseconds - wall(now));
+    const Duration early(attempt.key.birthMicroseconds - wallMicrosecondsAt(now));
     return claimRefusal::bornInFuture(RunState::kUnknown, std::max(early, knobs_.claimRetryAfter));
   }
   return full ? claimRefusal::tooManyClaims(jitteredRetryDelay())
@@ -243,7 +243,7 @@
       std::min<uint64_t>(reply.holder_age_milliseconds(), uint64_t{1} << 40U));
   vote.answer = fromProto(reply.answer());
   attempt.votes[from.node] = std::move(vote);
-  decide(attempt, now, sender);
+  evaluateVotes(attempt, now, sender);
 }
 
 void ClaimCoordinator::onAcknowledged(NodeId from, uint64_t number, Phase phase) {
@@ -358,7 +358,7 @@
       continue;
     }
     if (attempt.phase == Phase::kClaiming && now >= attempt.deadline) {
-      decide(attempt, now, sender);
+      evaluateVotes(attempt, now, sender);
     } else if (now >= attempt.nextSend) {
       sendDue(attempt, now, sender);
     }
--- a/src/claim/claim_coordinator.h
+++ b/src/claim/claim_coordinator.h
@@ -107,8 +107,7 @@
     Time nextSend{};
     Duration resendInterval{};
     std::map<NodeId, Vote> votes;
-    std::set<NodeId>
-        unacknowledged;  ///< Replicas that have yet to confirm the completion or release.
+    std::set<NodeId> unacknowledged;  ///< Replicas yet to confirm the completion or release.
     size_t acknowledged = 0;
     bool completionReported = false;
     ClaimAnswer answer;
@@ -119,7 +118,7 @@
   void onReply(const NodeLife& from, const proto::ClaimReply& reply, Time now,
                MessageSender& sender);
   void onAcknowledged(NodeId from, uint64_t number, Phase phase);
-  void decide(Attempt& attempt, Time now, MessageSender& sender);
+  void evaluateVotes(Attempt& attempt, Time now, MessageSender& sender);
   /// Removes votes of incarnations that another vote shows to have ended.
   void dropStaleVotes(Attempt& attempt) const;
   void reject(Attempt& attempt, ClaimOutcome outcome, Time now, MessageSender& sender);
@@ -133,7 +132,7 @@
   Attempt* findByTicket(ClaimTicket ticket);
   const Attempt* findActive(const ClaimKey& key) const;
   Duration jitteredRetryDelay();
-  int64_t wall(Time now) const;
+  int64_t wallMicrosecondsAt(Time now) const;
 
   NodeLife self_;
   int64_t wallMicrosecondsAtZero_;
--- a/src/claim/claim_key.cpp
+++ b/src/claim/claim_key.cpp
@@ -24,7 +24,7 @@
 
 bool isPrintable(const std::string& text) {
   return std::all_of(text.begin(), text.end(),
-                     [](unsigned char letter) { return letter > 0x20 && letter < 0x7f; });
+                     [](unsigned char character) { return character > 0x20 && character < 0x7f; });
 }
 
 std::optional<int64_t> uuidBirth(const std::string& text) {
@@ -72,7 +72,7 @@
   }
   const std::string digits = text.substr(0, dash);
   if (!std::all_of(digits.begin(), digits.end(),
-                   [](unsigned char letter) { return std::isdigit(letter) != 0; })) {
+                   [](unsigned char character) { return std::isdigit(character) != 0; })) {
     return std::nullopt;
   }
   const int64_t unit =
--- a/src/claim/claim_replica.cpp
+++ b/src/claim/claim_replica.cpp
@@ -26,7 +26,7 @@
   raiseIncarnation(incarnations_, self);
 }
 
-int64_t ClaimReplica::wall(Time now) const {
+int64_t ClaimReplica::wallMicrosecondsAt(Time now) const {
   return wallMicrosecondsAtZero_ + now.time_since_epoch().count();
 }
 
@@ -69,7 +69,8 @@
   if (rules_.birthCheck && store_.isOlderThanFloor(key)) {
     return proto::CLAIM_VERDICT_TOO_OLD;
   }
-  if (rules_.birthCheck && key.birthMicroseconds > wall(now) + knobs_.claimClockSkew.count()) {
+  if (rules_.birthCheck &&
+      key.birthMicroseconds > wallMicrosecondsAt(now) + knobs_.claimClockSkew.count()) {
     return proto::CLAIM_VERDICT_TOO_NEW;
   }
   ClaimRecord* record = store_.findOrAdd(key);
@@ -242,7 +243,7 @@
 
 void ClaimReplica::onTick(Time now, MessageSender& sender) {
   if (now >= nextPrune_) {
-    store_.pruneBornBefore(wall(now) - knobs_.claimRetention.count());
+    store_.pruneBornBefore(wallMicrosecondsAt(now) - knobs_.claimRetention.count());
     nextPrune_ = now + kPruneInterval;
   }
   epoch_.onTick(now);
--- a/src/claim/claim_replica.h
+++ b/src/claim/claim_replica.h
@@ -70,7 +70,7 @@
   void fillPage(const proto::ClaimTransferRequest& request, NodeId requester, Time now,
                 proto::ClaimTransferReply& reply) const;
   void sendTransferRequests(Time now, MessageSender& sender);
-  int64_t wall(Time now) const;
+  int64_t wallMicrosecondsAt(Time now) const;
 
   int64_t wallMicrosecondsAtZero_;
   Knobs knobs_;
--- a/src/claim/replica_epoch.h
+++ b/src/claim/replica_epoch.h
@@ -81,8 +81,7 @@
   Time recoveryDeadline_{};
   bool recoveryAbandoned_ = false;
   bool ownStateIsSource_ = false;  ///< This node's records are those of the sealed epoch.
-  int64_t emptySourceFloor_ =
-      0;  ///< Sources that lost their state voted only on keys created before this.
+  int64_t emptySourceFloor_ = 0;   ///< Sources without state voted only on keys created before.
 };
 
 }  // namespace fernmoor
