--- a/test/claim/claim_key_test.cpp
+++ b/test/claim/claim_key_test.cpp
@@ -36,7 +36,7 @@
   CHECK(valueOf(parse(mintClaimKeyText(birth, 5))).birthMicroseconds == birth);
 }
 
-TEST_CASE("a key without a birth is refused as not run") {
+TEST_CASE("a key without a birth is rejected as not run") {
   for (const char* text : {"", "receipt", "9b2e6c1e-8f0e-4a53-9d8e-0b1a2c3d4e5f", "12345-x",
                            "1645557742-", "1645557742x-9", "8ZZZZZZZZZZZZZZZZZZZZZZZZZ"}) {
     CAPTURE(text);
@@ -63,7 +63,7 @@
   CHECK(replicaGroupFor(key, {}, 3).empty());
 }
 
-TEST_CASE("every majority meets every set that recovery or sealing hears") {
+TEST_CASE("every majority intersects every set that recovery or sealing requires") {
   for (size_t size = 1; size <= 7; ++size) {
     CHECK(majorityOf(size) + intersectionOf(size) > size);
   }
--- a/test/claim/claim_protocol_test.cpp
+++ b/test/claim/claim_protocol_test.cpp
@@ -1,6 +1,7 @@
 /// @file
-/// The whole claim protocol under faults drawn from seeds: at most one run of a key, true
-/// "not run", progress once the faults end; and for each rule, that the checks fail without it.
+/// Tests of the claim protocol under faults generated from seeds: a key runs at most once, "not
+/// run" is reported correctly, and progress resumes once the faults end. For each rule, the checks
+/// must fail when it is disabled.
 #include <doctest/doctest.h>
 
 #include "claim_world.h"
@@ -17,7 +18,7 @@
   return options;
 }
 
-/// Votes of a former life meet votes of a later one.
+/// Votes of an earlier incarnation arrive together with votes of a later one.
 ClaimWorldOptions withCrashesAndLateMessages() {
   ClaimWorldOptions options;
   options.crashes = 5;
@@ -35,9 +36,9 @@
   return options;
 }
 
-ClaimWorldOptions withHerdRestart() {
+ClaimWorldOptions withRestartOfAllNodes() {
   ClaimWorldOptions options;
-  options.herdRestart = true;
+  options.restartsAllNodes = true;
   return options;
 }
 
@@ -45,8 +46,8 @@
   return report.doubleRuns == 0 && report.falseNotRun == 0 && report.wrongAnswers == 0;
 }
 
-/// Runs all seeds with all rules. @param keepsAllKeys no key may be given up in this scenario.
-void checkAllSeeds(const ClaimWorldOptions& options, bool keepsAllKeys) {
+/// Runs all seeds with all rules. @param expectsNoStuckKeys every key must end in this scenario.
+void checkAllSeeds(const ClaimWorldOptions& options, bool expectsNoStuckKeys) {
   int runs = 0;
   int recorded = 0;
   for (uint64_t seed = 1; seed <= kSeeds; ++seed) {
@@ -56,8 +57,8 @@
     CHECK(report.falseNotRun == 0);
     CHECK(report.wrongAnswers == 0);
     CHECK(report.unresolved == 0);
-    CHECK(report.freshKeysRefused == 0);
-    if (keepsAllKeys) {
+    CHECK(report.freshKeysRejected == 0);
+    if (expectsNoStuckKeys) {
       CHECK(report.stuckKeys == 0);
     }
     runs += report.runs;
@@ -67,7 +68,7 @@
   CHECK(recorded > 0);
 }
 
-/// @return true if the checks fail for one of the seeds with the rules given.
+/// @return true if the checks fail for at least one seed with the given rules.
 bool failsForSomeSeed(const ClaimWorldOptions& options, const ClaimRules& rules, uint64_t seeds) {
   for (uint64_t seed = 1; seed <= seeds; ++seed) {
     if (!isSafe(ClaimWorld(seed, options, rules).run())) {
@@ -79,15 +80,15 @@
 
 }  // namespace
 
-TEST_CASE("a key runs at most once and none is lost with lost, late and doubled messages") {
+TEST_CASE("a key runs at most once and none is lost with lost, late and duplicated messages") {
   checkAllSeeds(ClaimWorldOptions{}, true);
 }
 
-TEST_CASE("a key runs at most once when nodes lose their memory") {
+TEST_CASE("a key runs at most once when nodes lose their state") {
   checkAllSeeds(withCrashes(), false);
 }
 
-TEST_CASE("a key runs at most once when late messages meet nodes that lost their memory") {
+TEST_CASE("a key runs at most once when late messages reach nodes that lost their state") {
   checkAllSeeds(withCrashesAndLateMessages(), false);
 }
 
@@ -96,12 +97,12 @@
   checkAllSeeds(withGroupChange(0), false);
 }
 
-TEST_CASE("a key runs at most once when the group changes while nodes lose their memory") {
+TEST_CASE("a key runs at most once when the group changes while nodes lose their state") {
   checkAllSeeds(withGroupChange(3), false);
 }
 
-TEST_CASE("a key runs at most once when all nodes lose their memory at once") {
-  checkAllSeeds(withHerdRestart(), false);
+TEST_CASE("a key runs at most once when all nodes lose their state at once") {
+  checkAllSeeds(withRestartOfAllNodes(), false);
 }
 
 TEST_CASE("without a rule of the protocol the checks fail") {
@@ -125,7 +126,7 @@
   }
   SUBCASE("birth check") {
     rules.birthCheck = false;
-    CHECK(failsForSomeSeed(withHerdRestart(), rules, kManySeeds));
+    CHECK(failsForSomeSeed(withRestartOfAllNodes(), rules, kManySeeds));
   }
   SUBCASE("crash vectors") {
     rules.crashVectors = false;
--- a/test/claim/claim_service_test.cpp
+++ b/test/claim/claim_service_test.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// Tests of src/claim/claim_service.h, and of refusals that need no faults.
+/// Tests of src/claim/claim_service.h, and of rejections that need no faults.
 #include "claim/claim_service.h"
 
 #include <doctest/doctest.h>
@@ -80,7 +80,7 @@
   CHECK(std::get<Error>(other).runState == RunState::kNotRun);
 }
 
-TEST_CASE("a released claim can be granted anew") {
+TEST_CASE("a released claim can be granted again") {
   Alone node;
   const ClaimKey key = keyBornAt(kWall);
   REQUIRE(std::holds_alternative<ClaimGranted>(node.begin(key, 1)));
@@ -88,7 +88,7 @@
   CHECK(std::holds_alternative<ClaimGranted>(node.begin(key, 1)));
 }
 
-TEST_CASE("an answer that is too large is remembered as run") {
+TEST_CASE("an answer that is too large is recorded as run") {
   Alone node;
   const ClaimKey key = keyBornAt(kWall);
   REQUIRE(std::holds_alternative<ClaimGranted>(node.begin(key, 1)));
@@ -100,7 +100,7 @@
   CHECK(std::get<Error>(resend).runState == RunState::kRan);
 }
 
-TEST_CASE("a key from the future is refused, as not run only where no node would accept it") {
+TEST_CASE("a key from the future is rejected, as not run only where no node would accept it") {
   Alone node;
   const int64_t skew = node.knobs.claimClockSkew.count();
   const ClaimOutcome far = node.begin(keyBornAt(kWall + 10 * skew), 1);
@@ -112,14 +112,14 @@
   CHECK(std::get<Error>(near).retryAfter.has_value());
 }
 
-TEST_CASE("without replicas a claim is refused at once, without an answer at the timeout") {
+TEST_CASE("without replicas a claim is rejected at once, without an answer at the timeout") {
   NoSender sender;
   const Knobs knobs;
   ClaimService service(kSelf, kWall, knobs, 1);
   PendingClaim none = service.begin(keyBornAt(kWall), 1, Time(), sender);
-  const ClaimOutcome refused = none.outcome.get();
-  CHECK(std::get<Error>(refused).kind == ErrorKind::kUnavailable);
-  CHECK(std::get<Error>(refused).retryAfter.has_value());
+  const ClaimOutcome rejected = none.outcome.get();
+  CHECK(std::get<Error>(rejected).kind == ErrorKind::kUnavailable);
+  CHECK(std::get<Error>(rejected).retryAfter.has_value());
 
   service.setGroupConfiguration(
       configurationOf({GroupMember{NodeId(2), Incarnation(1), ZoneId("a")},
@@ -158,7 +158,7 @@
   CHECK(replica.find(key)->state == RecordState::kUnclaimed);
 }
 
-TEST_CASE("records are bounded in number and forgotten after the retention time") {
+TEST_CASE("records are limited in number and removed after the retention time") {
   Knobs knobs;
   knobs.claimMaximumRecords = 16;
   ClaimStore store(knobs);
--- a/test/claim/claim_world.cpp
+++ b/test/claim/claim_world.cpp
@@ -150,7 +150,7 @@
     const size_t index = random_.below(kNodes);
     at(now_ + random_.between(Duration(0), kFaultyTime), [this, index] { restart(index); });
   }
-  if (options_.herdRestart) {
+  if (options_.restartsAllNodes) {
     at(now_ + random_.between(Duration(0), kFaultyTime), [this] {
       for (size_t index = 0; index < kNodes; ++index) {
         restart(index);
@@ -184,7 +184,7 @@
       const ClaimKey key = newKey();
       runs_[key] = 0;
       for (int copy = 0; copy < options_.sendsPerKey; ++copy) {
-        // Most copies meet, so that dispatchers compete; some come later.
+        // Most copies overlap, so that dispatchers compete; some arrive later.
         const Duration delay =
             random_.between(Duration(0), random_.chance(0.6) ? Duration(20000) : Duration(700000));
         const size_t index = random_.below(kNodes);
@@ -236,8 +236,8 @@
   }
   finalGrants_[send.key] += send.isFinal ? 1 : 0;
   Node& node = *nodes_[index];
-  const bool givesUp = !send.isFinal && random_.chance(0.25);
-  if (givesUp) {
+  const bool releasesClaim = !send.isFinal && random_.chance(0.25);
+  if (releasesClaim) {
     report_.falseNotRun += runs_[send.key] > 0 ? 1 : 0;
     Sender sender(*this, node.life);
     node.coordinator->release(ticket, now_, sender);
@@ -251,7 +251,7 @@
   const Duration wait = random_.between(Duration(0), Duration(100000));
   at(now_ + wait, [this, index, ticket, send, life] {
     if (nodes_[index]->life != life) {
-      return;  // The node died before it dispatched.
+      return;  // The node restarted before it dispatched.
     }
     ++report_.runs;
     report_.doubleRuns += ++runs_[send.key] > 1 ? 1 : 0;
@@ -287,7 +287,7 @@
   for (const ClaimKey& key : keys) {
     const bool isFresh = std::find(fresh.begin(), fresh.end(), key) != fresh.end();
     const bool ended = finalGrants_[key] > 0;
-    report_.freshKeysRefused += isFresh && !ended ? 1 : 0;
+    report_.freshKeysRejected += isFresh && !ended ? 1 : 0;
     report_.stuckKeys += !isFresh && !ended && runs_[key] <= 1 ? 1 : 0;
   }
   return report_;
--- a/test/claim/claim_world.h
+++ b/test/claim/claim_world.h
@@ -1,6 +1,6 @@
 /// @file
-/// Nodes with the claim duties on a virtual network and clock, with faults drawn from a seed, and
-/// callers that send keys, resend them and count what ran. Used by tests only.
+/// Simulation of nodes with the claim roles on a virtual network and clock, with faults generated
+/// from a seed, and callers that send and resend keys and count the runs. Used by tests only.
 #pragma once
 
 #include <cstdint>
@@ -19,21 +19,21 @@
 struct ClaimWorldOptions {
   double lossProbability = 0.1;
   double duplicateProbability = 0.1;
-  double lateProbability = 0.1;  ///< Of a message that takes up to half a second.
+  double lateProbability = 0.1;  ///< Of a message delayed by up to half a second.
   int crashes = 0;
-  bool herdRestart = false;   ///< All nodes lose their memory at once.
-  bool changesGroup = false;  ///< A second configuration reaches the nodes one by one.
+  bool restartsAllNodes = false;  ///< All nodes lose their state at once.
+  bool changesGroup = false;      ///< A second configuration reaches the nodes one at a time.
   int keys = 4;
   int sendsPerKey = 4;
 };
 
 struct ClaimWorldReport {
   int doubleRuns = 0;   ///< Runs of a key beyond the first.
-  int falseNotRun = 0;  ///< "not run" was said of a key that had run, or its attempt ran later.
+  int falseNotRun = 0;  ///< "not run" reported for a key that had run, or its attempt ran later.
   int unresolved = 0;   ///< Sends without an outcome.
-  int stuckKeys = 0;    ///< Never run, and yet not granted after the faults ended.
-  int freshKeysRefused = 0;  ///< Keys born after the faults ended and not granted.
-  int wrongAnswers = 0;      ///< A recorded answer of another key.
+  int stuckKeys = 0;    ///< Keys that never ran and were not granted after the faults ended.
+  int freshKeysRejected = 0;  ///< Keys created after the faults ended and not granted.
+  int wrongAnswers = 0;       ///< A recorded answer of another key.
   int runs = 0;
   int recorded = 0;
 };
@@ -43,7 +43,7 @@
   ClaimWorld(uint64_t seed, const ClaimWorldOptions& options, ClaimRules rules);
   ~ClaimWorld();
 
-  /// Runs faults and callers, ends the faults, and sends every key and new ones again.
+  /// Runs faults and callers, ends the faults, then resends every key and sends new ones.
   ClaimWorldReport run();
 
  private:
--- a/test/claim/crash_vector_test.cpp
+++ b/test/claim/crash_vector_test.cpp
@@ -1,6 +1,6 @@
 /// @file
-/// Tests of crash vectors: what a former life of a replica said is void beside what others said
-/// after they had heard of its next life.
+/// Tests of crash vectors: answers of an earlier incarnation of a replica are discarded once
+/// another replica has answered with knowledge of its next incarnation.
 #include <doctest/doctest.h>
 
 #include "claim/claim_coordinator.h"
@@ -12,7 +12,7 @@
 
 constexpr int64_t kWall = 1700000000000000;
 const NodeLife kSelf{NodeId(9), Incarnation(1)};
-const NodeLife kFormer{NodeId(3), Incarnation(1)};
+const NodeLife kEarlier{NodeId(3), Incarnation(1)};
 const NodeLife kNext{NodeId(3), Incarnation(2)};
 
 class NoSender : public MessageSender {
@@ -20,8 +20,8 @@
   void send(NodeId, const proto::Envelope&) override {}
 };
 
-/// Two votes: of the former life of node 3, and of node 1 that knows of its next life.
-bool isGrantedByVotesOfTwoLives(const ClaimRules& rules) {
+/// Two votes: one of the earlier incarnation of node 3, one of node 1, which knows the next one.
+bool isGrantedByVotesOfTwoIncarnations(const ClaimRules& rules) {
   NoSender sender;
   ClaimCoordinator coordinator(kSelf, kWall, Knobs{}, 1, rules);
   GroupConfiguration configuration;
@@ -43,12 +43,12 @@
     *reply.add_crash_vector() = toProto(knows);
     coordinator.onMessage(from, envelope, Time(), sender);
   };
-  vote(kFormer, kFormer);
+  vote(kEarlier, kEarlier);
   vote(NodeLife{NodeId(1), Incarnation(1)}, kNext);
   return !coordinator.takeResolutions().empty();
 }
 
-size_t missingAfterAnswersOfTwoLives(const ClaimRules& rules) {
+size_t missingAfterAnswersOfTwoIncarnations(const ClaimRules& rules) {
   StateTransfer transfer(1, 1, {NodeId(1), NodeId(3)}, {}, rules);
   const auto answer = [&](const NodeLife& from, const NodeLife& knows) {
     proto::ClaimTransferReply reply;
@@ -59,25 +59,25 @@
     *reply.add_crash_vector() = toProto(knows);
     transfer.onReply(from, reply, Time());
   };
-  answer(kFormer, kFormer);
+  answer(kEarlier, kEarlier);
   answer(NodeLife{NodeId(1), Incarnation(1)}, kNext);
   return transfer.missingState();
 }
 
 }  // namespace
 
-TEST_CASE("a vote of a former life does not add up with one given after its loss") {
-  CHECK_FALSE(isGrantedByVotesOfTwoLives(ClaimRules{}));
+TEST_CASE("a vote of an earlier incarnation is not counted with one cast after its restart") {
+  CHECK_FALSE(isGrantedByVotesOfTwoIncarnations(ClaimRules{}));
   ClaimRules rules;
   rules.crashVectors = false;
-  CHECK(isGrantedByVotesOfTwoLives(rules));
+  CHECK(isGrantedByVotesOfTwoIncarnations(rules));
 }
 
-TEST_CASE("records of a former life are asked for anew") {
-  CHECK(missingAfterAnswersOfTwoLives(ClaimRules{}) == 1);
+TEST_CASE("records of an earlier incarnation are requested again") {
+  CHECK(missingAfterAnswersOfTwoIncarnations(ClaimRules{}) == 1);
   ClaimRules rules;
   rules.crashVectors = false;
-  CHECK(missingAfterAnswersOfTwoLives(rules) == 0);
+  CHECK(missingAfterAnswersOfTwoIncarnations(rules) == 0);
 }
 
 }  // namespace fernmoor
