--- a/src/claim/claim_key.cpp
+++ b/src/claim/claim_key.cpp
@@ -102,11 +102,12 @@
   }
   const std::optional<int64_t> birth = birthOf(text);
   if (!birth) {
-    return Error{ErrorKind::kInvalidRequest,
-                 "The idempotency key does not tell when it was made, so a lost record could not "
-                 "be told from a new request. Send a UUID version 7, a ULID, or "
-                 "<unix seconds>-<unique text>.",
-                 RunState::kNotRun, std::nullopt};
+    return Error{
+        ErrorKind::kInvalidRequest,
+        "The idempotency key does not contain its creation time, so a lost record could not "
+        "be distinguished from a new request. Send a UUID version 7, a ULID, or "
+        "<unix seconds>-<unique text>.",
+        RunState::kNotRun, std::nullopt};
   }
   return ClaimKey{tenant, service, text, *birth};
 }
--- a/src/claim/claim_refusal.cpp
+++ b/src/claim/claim_refusal.cpp
@@ -4,8 +4,8 @@
 
 Error bornInFuture(RunState runState, std::optional<Duration> retryAfter) {
   return Error{ErrorKind::kInvalidRequest,
-               "The idempotency key's time lies in the future. Set the clock that makes the keys, "
-               "or ask a node for a key.",
+               "The idempotency key has a time in the future. Correct the clock that generates the "
+               "keys, or request a key from a node.",
                runState, retryAfter};
 }
 
@@ -18,28 +18,28 @@
 
 Error noReplicas(Duration retryAfter) {
   return Error{ErrorKind::kUnavailable,
-               "No majority of the nodes that keep this key's claim answered in time. Send the "
+               "No majority of the replica group of this key answered in time. Send the "
                "request again with the same key; it runs at most once.",
                RunState::kUnknown, retryAfter};
 }
 
 Error tooManyClaims(Duration retryAfter) {
   return Error{ErrorKind::kOverloaded,
-               "Too many not-repeatable requests are on record. Send the request again later with "
+               "Too many non-repeatable requests are recorded. Send the request again later with "
                "the same key; it runs at most once.",
                RunState::kUnknown, retryAfter};
 }
 
 Error outcomeUnknown() {
   return Error{ErrorKind::kOutcomeUnknown,
-               "Whether the request ran cannot be told, and it will not be run now. Look the "
+               "It is unknown whether the request ran, and it will not be run now. Look the "
                "result up in the application before sending it with a new key.",
                RunState::kUnknown, std::nullopt};
 }
 
 Error answerNotKept() {
   return Error{ErrorKind::kConflict,
-               "The request ran before, but its answer was too large to keep. Look the result up "
+               "The request ran before, but its answer was too large to store. Look the result up "
                "in the application.",
                RunState::kRan, std::nullopt};
 }
--- a/src/claim/group_configuration_codec.cpp
+++ b/src/claim/group_configuration_codec.cpp
@@ -48,7 +48,8 @@
   proto::ClaimGroupConfiguration message;
   if (!google::protobuf::util::JsonStringToMessage(text, &message).ok() || message.epoch() == 0) {
     return Error{ErrorKind::kInvalidRequest,
-                 "the platform's object control/claim-group is no group configuration; restore it.",
+                 "the platform's object control/claim-group is not a valid group configuration; "
+                 "restore it.",
                  RunState::kNotRun, std::nullopt};
   }
   GroupConfiguration configuration;
