--- a/src/claim/claim_coordinator.h
+++ b/src/claim/claim_coordinator.h
@@ -67,8 +67,8 @@
   /// Records the answer of a granted request that ran; the result is returned by takeCompletions().
   void complete(ClaimTicket ticket, const ClaimAnswer& answer, Time now, MessageSender& sender);
   /// Releases a claim, granted or still pending. Allowed only if no byte of the request was sent to
-  /// a back end, or the back end confirmed that it did not start. The caller may then be told "not
-  /// run" if the claim had been granted, else "unknown".
+  /// a back end, or the back end confirmed that it did not start. The caller may then be told
+  /// "not run" if the claim had been granted, else "unknown".
   void release(ClaimTicket ticket, Time now, MessageSender& sender);
 
   void setGroupConfiguration(const GroupConfiguration& configuration, Time now,
--- a/src/claim/replica_epoch.h
+++ b/src/claim/replica_epoch.h
@@ -41,7 +41,7 @@
   bool votesIn(uint64_t epoch, const ClaimKey& key) const;
   /// @return how this node answers a request for its records.
   proto::ClaimTransferStatus transferStatus(uint64_t sourceEpoch, uint64_t targetEpoch) const;
-  /// @return keys born before this and without a record here count as voided here.
+  /// @return the birth floor sent to peers: older keys without a record here count as voided.
   int64_t floorForPeers() const;
 
   const NodeLife& self() const { return self_; }
