--- a/src/claim/claim_key.cpp
+++ b/src/claim/claim_key.cpp
@@ -24,7 +24,7 @@
 
 bool isPrintable(const std::string& text) {
   return std::all_of(text.begin(), text.end(),
-                     [](unsigned char letter) { return letter > 0x20 && letter < 0x7f; });
+                     [](unsigned char character) { return character > 0x20 && character < 0x7f; });
 }
 
 std::optional<int64_t> uuidBirth(const std::string& text) {
@@ -72,7 +72,7 @@
   }
   const std::string digits = text.substr(0, dash);
   if (!std::all_of(digits.begin(), digits.end(),
-                   [](unsigned char letter) { return std::isdigit(letter) != 0; })) {
+                   [](unsigned char character) { return std::isdigit(character) != 0; })) {
     return std::nullopt;
   }
   const int64_t unit =
@@ -102,11 +102,12 @@
   }
   const std::optional<int64_t> birth = birthOf(text);
   if (!birth) {
-    return Error{ErrorKind::kInvalidRequest,
-                 "The idempotency key does not tell when it was made, so a lost record could not "
-                 "be told from a new request. Send a UUID version 7, a ULID, or "
-                 "<unix seconds>-<unique text>.",
-                 RunState::kNotRun, std::nullopt};
+    return Error{
+        ErrorKind::kInvalidRequest,
+        "The idempotency key does not contain its creation time, so a lost record could not "
+        "be distinguished from a new request. Send a UUID version 7, a ULID, or "
+        "<unix seconds>-<unique text>.",
+        RunState::kNotRun, std::nullopt};
   }
   return ClaimKey{tenant, service, text, *birth};
 }
