--- a/src/engine/cache_view.h
+++ b/src/engine/cache_view.h
@@ -40,7 +40,8 @@
   void alignTo(Incarnation incarnation, WeightsVersion weightsVersion);
 
   /// Corrects the view from an answer that reports how much of its prompt was cached: the matched
-  /// blocks are confirmed and the block after them is dropped, which repairs errors due to a gap.
+  /// blocks are confirmed and the block after them is dropped if doubtful, which repairs errors due
+  /// to a gap.
   void confirm(const BlockChain& chain, int64_t matchedBlocks);
 
   /// Drops blocks that have been doubtful for longer than the knob doubtfulBlockLifetime.
--- a/src/engine/engine_lease.h
+++ b/src/engine/engine_lease.h
@@ -21,7 +21,7 @@
 /// Content of a lease object.
 struct LeaseRecord {
   NodeLife holder;
-  Duration duration{0};  ///< From when the holder sent it.
+  Duration duration{0};  ///< Counted from when the holder sent the write.
 };
 
 std::string writeLeaseRecord(const LeaseRecord& record);
--- a/src/engine/owned_engines.h
+++ b/src/engine/owned_engines.h
@@ -55,14 +55,14 @@
   /// Drops blocks that have been doubtful for too long. Call it about once a second.
   void expire(Time now);
 
-  /// @return the last event seen of the engine, 0 where it isn't owned.
+  /// @return the sequence number of the engine's last event seen, 0 if it isn't owned.
   uint64_t sequence(const EngineId& engine) const;
   bool owns(const EngineId& engine) const;
   std::vector<EngineState> states() const;
-  /// @return none where the engine isn't owned.
+  /// @return none if the engine isn't owned.
   std::optional<EngineProbe> probe(const EngineId& engine, const ChainSample& sample) const;
   OwnedEnginesSummary summary(Time now) const;
-  /// @return none where the engine isn't owned.
+  /// @return none if the engine isn't owned.
   std::optional<OwnedViewStats> viewOf(const EngineId& engine) const;
 
  private:
--- a/src/engine/ownership_role.h
+++ b/src/engine/ownership_role.h
@@ -19,7 +19,7 @@
 
 /// The nodes responsible for one engine.
 struct EngineOwners {
-  std::optional<NodeId> owner;   ///< None where no node is alive.
+  std::optional<NodeId> owner;   ///< None if no node is alive.
   std::optional<NodeId> second;  ///< Warm standby: tracks the engine too, to take over at once.
   friend bool operator==(const EngineOwners& a, const EngineOwners& b) {
     return a.owner == b.owner && a.second == b.second;
--- a/src/engine/probe_role.h
+++ b/src/engine/probe_role.h
@@ -20,7 +20,7 @@
 namespace fernmoor {
 
 struct ProbeCounters {
-  uint64_t questions = 0;        ///< Prompts asked about.
+  uint64_t questions = 0;        ///< Prompts probed.
   uint64_t queriesSent = 0;      ///< Messages to owners.
   uint64_t enginesReused = 0;    ///< Answered from cached answers.
   uint64_t enginesLocal = 0;     ///< Answered by this node's own views.
--- a/src/engine/probe_waiter.h
+++ b/src/engine/probe_waiter.h
@@ -13,7 +13,7 @@
 /// Probe result of one engine for one prompt.
 struct ProbeResult {
   EngineLife life;
-  bool known = false;         ///< False where no owner answered (yet).
+  bool known = false;         ///< False if no owner has answered (yet).
   int64_t matchedBlocks = 0;  ///< Leading blocks held, at least; exact to the sample's stride.
   bool doubtful = false;      ///< Known only from before a gap in the engine's events.
 };
@@ -29,11 +29,11 @@
   ProbeWaiter(std::vector<ProbeResult> results, size_t owners)
       : results_(std::move(results)), pendingOwners_(owners) {}
 
-  /// @return what is known by now, in the order of the engines asked for.
+  /// @return what is known by now, in the order of the engines probed.
   std::vector<ProbeResult> results() const;
   /// @return true once every owner that was asked has answered.
   bool isComplete() const;
-  /// Sets the handler; it is called at once where the answers are complete.
+  /// Sets the handler; it is called at once if the answers are complete already.
   void onComplete(CompletionHandler handler);
 
   /// Adds one owner's answer; called by ProbeRole.
--- a/test/engine/cache_view_test.cpp
+++ b/test/engine/cache_view_test.cpp
@@ -52,7 +52,7 @@
   CHECK(view.match(chainOf(5000, 8)).blocks == 0);
 }
 
-TEST_CASE("events that come twice change nothing, a hole makes the view doubtful") {
+TEST_CASE("duplicate events are ignored; a gap in the sequence makes the view doubtful") {
   CacheView view = viewOf(1);
   const BlockChain chain = chainOf(1000, 8);
   view.apply(storedBatch(1, 1, chain), kNow);
@@ -69,7 +69,7 @@
   CHECK(view.match(later).blocks == 4);
 }
 
-TEST_CASE("a batch that names a gap counts it once") {
+TEST_CASE("a batch that reports a gap counts it once") {
   CacheView view = viewOf(1);
   view.apply(storedBatch(1, 1, chainOf(1000, 2)), kNow);
   CacheEventBatch batch = storedBatch(1, 10, chainOf(2000, 2));
@@ -79,7 +79,8 @@
   CHECK(view.sequence() == 11);
 }
 
-TEST_CASE("an answer confirms what the engine held and drops what it didn't") {
+TEST_CASE(
+    "an answer confirms the blocks that the engine held and drops the first one that it lacked") {
   CacheView view = viewOf(1);
   const BlockChain chain = chainOf(1000, 8);
   view.apply(storedBatch(1, 1, chain), kNow);
@@ -89,7 +90,7 @@
   CHECK_FALSE(view.match(chain).doubtful);
 }
 
-TEST_CASE("a view of a former life or other weights is dropped") {
+TEST_CASE("a view of an earlier incarnation or other weights is dropped") {
   CacheView view = viewOf(1);
   const BlockChain chain = chainOf(1000, 8);
   view.apply(storedBatch(1, 1, chain), kNow);
--- a/test/engine/engine_directory_test.cpp
+++ b/test/engine/engine_directory_test.cpp
@@ -50,7 +50,7 @@
   CHECK(candidateCount(directory, at(1)) == 0);
 }
 
-TEST_CASE("pauses after failures double and a new incarnation ends them") {
+TEST_CASE("pauses after failures double, and a new incarnation resets them") {
   EngineDirectory directory{Knobs{}};
   directory.update(stateOf(1, at(0)), at(0));
   directory.reportFailure(EngineId("e1"), at(0));
@@ -62,7 +62,7 @@
   CHECK(candidateCount(directory, at(1499)) == 1);
 }
 
-TEST_CASE("a stale placement takes the engine out until its next report") {
+TEST_CASE("a stale placement excludes the engine until its next report") {
   EngineDirectory directory{Knobs{}};
   directory.update(stateOf(1, at(0)), at(0));
   directory.reportStale(EngineId("e1"), Incarnation(1));
@@ -72,7 +72,7 @@
   CHECK(candidateCount(directory, at(2)) == 1);
 }
 
-TEST_CASE("reports of a former incarnation or with an older load change nothing") {
+TEST_CASE("reports of an earlier incarnation or with an older load are ignored") {
   EngineDirectory directory{Knobs{}};
   directory.update(stateOf(2, at(10)), at(10));
   directory.update(stateOf(1, at(20)), at(20));
--- a/test/engine/engine_lease_keeper_test.cpp
+++ b/test/engine/engine_lease_keeper_test.cpp
@@ -34,7 +34,7 @@
 
 }  // namespace
 
-TEST_CASE("one node holds the lease, the other waits and then takes it with a higher token") {
+TEST_CASE("one node holds the lease; the other waits, then acquires it with a higher token") {
   Fixture fixture;
   const FencingToken token = fixture.tokenOf(fixture.first.acquire(kEngine));
   CHECK(fixture.tokenOf(fixture.first.acquire(kEngine)) == token);
@@ -58,7 +58,7 @@
   }
 }
 
-TEST_CASE("a paused holder whose lease lapsed is rejected by itself and by the engine") {
+TEST_CASE("a paused holder whose lease expired is rejected by itself and by the engine") {
   Fixture fixture;
   standin::EngineModel engine(standin::EngineOptions{});
   const FencingToken old = fixture.tokenOf(fixture.first.acquire(kEngine));
@@ -76,7 +76,7 @@
   CHECK_FALSE(isOk(order(old)));
 }
 
-TEST_CASE("without the platform no lease is taken, and a held one is good until its end") {
+TEST_CASE("an unavailable platform grants no lease; a held one is valid until it expires") {
   Fixture fixture;
   fixture.tokenOf(fixture.first.acquire(kEngine));
   fixture.platform.setDown(true);
@@ -86,7 +86,8 @@
   CHECK(isConflict(fixture.first.authorize(kEngine)));
 }
 
-TEST_CASE("a lost answer is resolved; a write that arrives late gives no right by itself") {
+TEST_CASE(
+    "a lost answer is resolved; a write that arrives late does not grant the lease by itself") {
   Fixture fixture;
   fixture.platform.loseAnswers(1);
   CHECK(isOk(fixture.first.acquire(kEngine)));
@@ -98,7 +99,8 @@
   CHECK(isOk(fixture.first.acquire(kEngine)));
 }
 
-TEST_CASE("a restarted node is another holder and waits for its former life's lease") {
+TEST_CASE(
+    "a restarted node is another holder and waits for the lease of its previous incarnation") {
   Fixture fixture;
   fixture.tokenOf(fixture.first.acquire(kEngine));
   EngineLeaseKeeper restarted(fixture.platform, NodeLife{NodeId(1), Incarnation(2)}, fixture.clock,
@@ -106,7 +108,7 @@
   CHECK(isConflict(restarted.acquire(kEngine)));
 }
 
-TEST_CASE("an unreadable lease is waited out, not trusted and not an obstacle for ever") {
+TEST_CASE("an unreadable lease is not trusted and blocks others only until it would have expired") {
   Fixture fixture;
   const ObjectChange nonsense{ObjectName(kEngine.value()), {}, std::string("[1]")};
   REQUIRE(isOk(fixture.platform.put(engineLeaseCollection(), nonsense, ChangeId("x"))));
--- a/test/engine/ownership_role_test.cpp
+++ b/test/engine/ownership_role_test.cpp
@@ -48,7 +48,7 @@
 
 }  // namespace
 
-TEST_CASE("each engine has an owner and another second in its zone, the same in any order") {
+TEST_CASE("each engine has an owner and a different second in its zone, in any input order") {
   FixedMembers members(30, 3);
   OwnershipRole role(members, Knobs{});
   role.setEngines(manyEngines(100));
@@ -85,7 +85,7 @@
   }
 }
 
-TEST_CASE("a zone without live nodes lends its engines to the others; unknown ones have no owner") {
+TEST_CASE("engines of a zone without live nodes get owners elsewhere; unknown engines have none") {
   FixedMembers members(2, 2);
   OwnershipRole role(members, Knobs{});
   role.setEngines({engineIn("far", "zone-9"), engineIn("near", "zone-0")});
--- a/test/engine/probe_role_test.cpp
+++ b/test/engine/probe_role_test.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 const EngineId kEngine("engine-1");
-constexpr Incarnation kLife{7};
+constexpr Incarnation kIncarnation{7};
 
 BlockChain chainOf(uint64_t first, size_t blocks) {
   BlockChain chain;
@@ -25,7 +25,7 @@
 EngineState stateOf(const EngineId& id) {
   EngineState state;
   state.id = id;
-  state.incarnation = kLife;
+  state.incarnation = kIncarnation;
   state.model = ModelId("model");
   state.weightsVersion = WeightsVersion(1);
   state.load.maxStreams = 32;
@@ -37,7 +37,7 @@
 
 CacheEventBatch storedBatch(const BlockChain& chain) {
   CacheEventBatch batch;
-  batch.incarnation = kLife;
+  batch.incarnation = kIncarnation;
   for (const BlockHash block : chain.hashes) {
     batch.events.push_back(CacheEvent{batch.events.size() + 1, CacheEventKind::kStored, block});
   }
@@ -52,17 +52,17 @@
     }
     for (const sim::Placement& placement : sim::spreadOverZones(count, 1, 1)) {
       cluster.addNode(placement, [this, count](NodeLife life, Time now) {
-        std::vector<NodeId> everyone;
+        std::vector<NodeId> allNodes;
         for (uint32_t number = 1; number <= count; ++number) {
-          everyone.emplace_back(number);
+          allNodes.emplace_back(number);
         }
         auto role = std::make_shared<ProbeRole>(
             life.node, *owned[life.node.value() - 1],
             [](const EngineId& engine) { return std::optional<NodeId>(NodeId(1)); },
-            [everyone] { return everyone; },
+            [allNodes] { return allNodes; },
             [this, life](const EngineState& state) {
               if (life.node == NodeId(2)) {
-                heard.push_back(state);
+                receivedStates.push_back(state);
               }
             },
             knobs);
@@ -74,21 +74,22 @@
     cluster.startAll();
   }
 
-  std::shared_ptr<ProbeWaiter> ask(const BlockChain& chain, Incarnation life = kLife) {
-    sim::SimulatedNode& asker = cluster.node(NodeId(2));
-    return asker.role<ProbeRole>()->ask(chain, {EngineLife{kEngine, life}}, cluster.now(),
-                                        asker.sender());
+  std::shared_ptr<ProbeWaiter> ask(const BlockChain& chain,
+                                   Incarnation incarnation = kIncarnation) {
+    sim::SimulatedNode& prober = cluster.node(NodeId(2));
+    return prober.role<ProbeRole>()->ask(chain, {EngineLife{kEngine, incarnation}}, cluster.now(),
+                                         prober.sender());
   }
 
   Knobs knobs;
   sim::SimulatedCluster cluster;
   std::vector<std::unique_ptr<OwnedEngines>> owned;
-  std::vector<EngineState> heard;
+  std::vector<EngineState> receivedStates;
 };
 
 }  // namespace
 
-TEST_CASE_FIXTURE(ProbeFixture, "an owner tells how deep its engine matches") {
+TEST_CASE_FIXTURE(ProbeFixture, "an owner answers how many blocks its engine matches") {
   BlockChain chain = chainOf(1000, 64);
   const BlockChain tail = chainOf(9000, 64);
   chain.hashes.insert(chain.hashes.end(), tail.hashes.begin(), tail.hashes.end());
@@ -114,14 +115,14 @@
     cluster.run(knobs.probeReuse);
     CHECK_FALSE(ask(chain)->isComplete());
   }
-  SUBCASE("but not one of another life of the engine") {
+  SUBCASE("but not one of another incarnation of the engine") {
     const auto other = ask(chain, Incarnation(8));
     cluster.run(Duration(2000));
     CHECK(other->results()[0].matchedBlocks == 0);
   }
 }
 
-TEST_CASE_FIXTURE(ProbeFixture, "a question without an answer stays open and is forgotten") {
+TEST_CASE_FIXTURE(ProbeFixture, "an unanswered probe stays incomplete and is dropped") {
   cluster.network().cutNodes(NodeId(1), NodeId(2));
   const auto waiter = ask(chainOf(1000, 50));
   cluster.run(Duration(1000000));
@@ -129,23 +130,23 @@
   CHECK(cluster.node(NodeId(2)).role<ProbeRole>()->counters().queriesTimedOut == 1);
 }
 
-TEST_CASE_FIXTURE(ProbeFixture, "owners tell their engines' loads, the seldom parts now and then") {
+TEST_CASE_FIXTURE(ProbeFixture, "owners push their engines' loads, and their profiles less often") {
   cluster.run(Duration(6000000));
-  REQUIRE(heard.size() >= 5);
-  CHECK(heard.back().load.queuedPrefillTokens == 1234);
-  CHECK(heard.back().load.maxStreams == 32);
-  CHECK(heard.back().incarnation == kLife);
-  CHECK(heard.back().model == ModelId("model"));
+  REQUIRE(receivedStates.size() >= 5);
+  CHECK(receivedStates.back().load.queuedPrefillTokens == 1234);
+  CHECK(receivedStates.back().load.maxStreams == 32);
+  CHECK(receivedStates.back().incarnation == kIncarnation);
+  CHECK(receivedStates.back().model == ModelId("model"));
   EngineState restarted = stateOf(kEngine);
   restarted.incarnation = Incarnation(8);
   owned[0]->update(restarted, cluster.now());
   cluster.run(Duration(2000000));
-  CHECK(heard.back().incarnation == Incarnation(8));
+  CHECK(receivedStates.back().incarnation == Incarnation(8));
 }
 
 TEST_CASE("a node of the target's size stays within the control budget") {
   // 54 nodes in a zone, 21 requests a second and 2 questions each, 1 engine in 0.63 nodes (86 in a
-  // zone): all scaled to one owner and one prober.
+  // zone): all scaled to one owner and one probing node.
   ProbeFixture fixture(54);
   fixture.cluster.run(Duration(20000000));
   fixture.cluster.network().resetTraffic();
@@ -159,7 +160,7 @@
       static_cast<double>(fixture.cluster.network().trafficOf(NodeId(2)).sent.bytes) / kSeconds;
   const double owning =
       static_cast<double>(fixture.cluster.network().trafficOf(NodeId(1)).sent.bytes) / kSeconds;
-  MESSAGE("bytes a second sent: " << asking << " by an asker of 42 prompts a second, " << owning
+  MESSAGE("bytes a second sent: " << asking << " by a prober of 42 prompts a second, " << owning
                                   << " by the owner that answers them and tells 53 nodes the load");
   CHECK(asking + owning < 22000);
 }
