--- a/test/peers/load_directory_test.cpp
+++ b/test/peers/load_directory_test.cpp
@@ -22,7 +22,7 @@
 class LoadWorld : public test::DirectoryWorld<LoadDirectory> {
  public:
   using DirectoryWorld::DirectoryWorld;
-  size_t enginesCounted() {
+  size_t totalEngineCount() {
     size_t sum = 0;
     for (uint64_t id = 1; id <= size(); ++id) {
       sum += node(id).engineCount();
@@ -49,12 +49,12 @@
     CHECK_FALSE(world.node(2).reserve(engine, demandOf(1), kRoom, kBound)->isGranted);
     world.node(1).release(answer.ticket);
   }
-  CHECK(world.enginesCounted() == 0);
+  CHECK(world.totalEngineCount() == 0);
 }
 
 TEST_CASE(
-    "a request whose prompt was read no longer counts as pending, but keeps its place until it "
-    "ends") {
+    "a request whose prompt was read no longer counts as pending, but occupies its slot "
+    "until it ends") {
   LoadWorld world(7);
   const gateway::EngineRoom room{1, 0};
   for (uint64_t engine = 1000; engine < 1050; ++engine) {
@@ -67,10 +67,10 @@
     CHECK(next.tokensPerSecond > 0);
     world.node(2).release(next.ticket);
   }
-  CHECK(world.enginesCounted() == 0);
+  CHECK(world.totalEngineCount() == 0);
 }
 
-TEST_CASE("a request costs three messages at most, whatever the number of nodes") {
+TEST_CASE("a request takes at most three messages at any number of nodes") {
   for (const uint64_t count : {uint64_t{7}, uint64_t{300}}) {
     LoadWorld world(count);
     for (uint64_t engine = 0; engine < 100; ++engine) {
@@ -80,7 +80,7 @@
   }
 }
 
-TEST_CASE("if the owner does not answer, the load is unknown but the request goes on") {
+TEST_CASE("if the owner does not answer, reserve returns no load") {
   LoadWorld world(2);
   world.silent.insert(NodeId(2));
   int answered = 0;
@@ -91,7 +91,7 @@
   CHECK(answered < 20);
 }
 
-TEST_CASE("a reservation whose answer arrives too late is given back") {
+TEST_CASE("a reservation whose answer arrives too late is released") {
   LoadWorld world(2);
   proto::Envelope late;
   proto::LoadAnswer& answer = *late.mutable_load()->mutable_answer();
--- a/test/peers/quarantine_directory_test.cpp
+++ b/test/peers/quarantine_directory_test.cpp
@@ -16,7 +16,7 @@
 constexpr uint64_t kPoison = 77;
 constexpr uint64_t kVictim = 88;
 
-constexpr std::chrono::milliseconds kBetween{800};
+constexpr std::chrono::milliseconds kCrashInterval{800};
 
 }  // namespace
 
@@ -24,7 +24,7 @@
     "after three crashes at three nodes, all nodes quarantine the request within half a second") {
   QuarantineWorld world(7);
   for (uint64_t engine = 1; engine <= 3; ++engine) {
-    world.pass(kBetween);
+    world.pass(kCrashInterval);
     CHECK(world.quarantinedAt(kPoison) == 0);
     world.crash(engine, {{engine, kPoison}});
   }
@@ -35,7 +35,7 @@
 TEST_CASE("nodes hold a request until a decision, and other requests proceed") {
   QuarantineWorld world(7);
   for (uint64_t engine = 1; engine <= 3; ++engine) {
-    world.pass(kBetween);
+    world.pass(kCrashInterval);
     world.crash(engine, {{engine, kPoison}});
   }
   for (uint64_t id = 1; id <= 7; ++id) {
@@ -70,14 +70,14 @@
     "a verdict that explains the crashes of a proposal for another request ends that proposal") {
   QuarantineWorld world(7);
   for (uint64_t engine = 1; engine <= 2; ++engine) {
-    world.pass(kBetween);
+    world.pass(kCrashInterval);
     world.crash(engine, {{engine, kPoison}, {engine, kVictim}});
   }
-  world.pass(kBetween);
+  world.pass(kCrashInterval);
   world.crash(3, {{3, kPoison}});
   world.pass(std::chrono::milliseconds(100));
   world.crash(4, {{4, kVictim}});
-  world.pass(kBetween);
+  world.pass(kCrashInterval);
   CHECK(world.quarantinedAt(kPoison) + world.quarantinedAt(kVictim) <= 7);
   CHECK(world.quarantinedAt(kVictim) == 0);
 }
@@ -85,7 +85,7 @@
 TEST_CASE("evidence is handed over while all nodes restart in turn") {
   QuarantineWorld world(7);
   world.crash(1, {{1, kPoison}});
-  world.pass(kBetween);
+  world.pass(kCrashInterval);
   for (uint64_t id = 1; id <= 7; ++id) {
     world.setState(id, MemberState::kDraining);
     world.pass(std::chrono::milliseconds(600));
@@ -94,17 +94,17 @@
     world.pass(std::chrono::milliseconds(600));
   }
   world.crash(2, {{3, kPoison}});
-  world.pass(kBetween);
+  world.pass(kCrashInterval);
   CHECK(world.quarantinedAt(kPoison) == 0);
   world.crash(3, {{5, kPoison}});
-  world.pass(kBetween);
+  world.pass(kCrashInterval);
   CHECK(world.quarantinedAt(kPoison) == 7);
 }
 
 TEST_CASE("a verdict is sent again to a node that missed it") {
   QuarantineWorld world(7);
   for (uint64_t engine = 1; engine <= 3; ++engine) {
-    world.pass(kBetween);
+    world.pass(kCrashInterval);
     world.crash(engine, {{engine, kPoison}});
   }
   world.silent = {NodeId(6)};
@@ -117,10 +117,10 @@
 
 TEST_CASE("a request that was served meanwhile by any node is not quarantined") {
   QuarantineWorld world(7);
-  world.pass(kBetween);
+  world.pass(kCrashInterval);
   world.crash(1, {{1, kVictim}, {2, kVictim}});
   world.node(5).noteServed(kVictim + 1);
-  world.pass(kBetween);
+  world.pass(kCrashInterval);
   world.crash(2, {{2, kVictim}});
   SUBCASE("by a node that saw none of the crashes") {
     world.node(5).noteServed(kVictim);
@@ -128,47 +128,47 @@
   SUBCASE("by a node that saw one") {
     world.node(2).noteServed(kVictim);
   }
-  world.pass(kBetween);
+  world.pass(kCrashInterval);
   world.crash(3, {{3, kVictim}});
   world.pass(std::chrono::milliseconds(2000));
   CHECK(world.quarantinedAt(kVictim) == 0);
   // The evidence was dropped, so three further crashes are needed.
   world.crash(4, {{4, kVictim}});
-  world.pass(kBetween);
+  world.pass(kCrashInterval);
   world.crash(5, {{4, kVictim}});
-  world.pass(kBetween);
+  world.pass(kCrashInterval);
   CHECK(world.quarantinedAt(kVictim) == 0);
 }
 
 TEST_CASE("of two requests with the same crashes, the one that causes the next is quarantined") {
   QuarantineWorld world(7);
   for (uint64_t engine = 1; engine <= 3; ++engine) {
-    world.pass(kBetween);
+    world.pass(kCrashInterval);
     world.crash(engine, {{engine, kPoison}, {engine + 1, kVictim}});
   }
-  world.pass(kBetween);
+  world.pass(kCrashInterval);
   CHECK(world.quarantinedAt(kVictim) == 0);
   CHECK(world.quarantinedAt(kPoison) == 0);
   world.crash(4, {{5, kPoison}});
-  world.pass(kBetween);
+  world.pass(kCrashInterval);
   CHECK(world.quarantinedAt(kPoison) == 7);
   CHECK(world.quarantinedAt(kVictim) == 0);
   SUBCASE("and the crashes that it explains no longer count against the other") {
     world.crash(5, {{1, kVictim}});
-    world.pass(kBetween);
+    world.pass(kCrashInterval);
     world.crash(6, {{2, kVictim}});
-    world.pass(kBetween);
+    world.pass(kCrashInterval);
     CHECK(world.quarantinedAt(kVictim) == 0);
   }
 }
 
-TEST_CASE("two requests that always come together are both quarantined eventually") {
+TEST_CASE("two requests that are always sent together are both quarantined eventually") {
   QuarantineWorld world(7);
   for (uint64_t engine = 1; engine <= 5; ++engine) {
-    world.pass(kBetween);
+    world.pass(kCrashInterval);
     world.crash(engine, {{engine, kPoison}, {engine + 1, kVictim}});
   }
-  world.pass(kBetween);
+  world.pass(kCrashInterval);
   CHECK(world.quarantinedAt(kPoison) == 7);
   CHECK(world.quarantinedAt(kVictim) == 7);
 }
@@ -176,31 +176,31 @@
 TEST_CASE("a crash after the verdict is explained by it") {
   QuarantineWorld world(7);
   for (uint64_t engine = 1; engine <= 3; ++engine) {
-    world.pass(kBetween);
+    world.pass(kCrashInterval);
     world.crash(engine, {{engine, kPoison}});
   }
-  world.pass(kBetween);
+  world.pass(kCrashInterval);
   world.crash(4, {{2, kPoison}});
   world.crash(4, {{3, kVictim}});
-  world.pass(kBetween);
+  world.pass(kCrashInterval);
   world.crash(5, {{3, kVictim}});
-  world.pass(kBetween);
+  world.pass(kCrashInterval);
   world.crash(6, {{3, kVictim}});
-  world.pass(kBetween);
+  world.pass(kCrashInterval);
   CHECK(world.quarantinedAt(kVictim) == 0);
 }
 
 TEST_CASE("evidence survives the restart of any one node") {
   for (uint64_t restarted = 1; restarted <= 7; ++restarted) {
     QuarantineWorld world(7);
-    world.pass(kBetween);
+    world.pass(kCrashInterval);
     world.crash(1, {{1, kPoison}});
-    world.pass(kBetween);
+    world.pass(kCrashInterval);
     world.crash(2, {{2, kPoison}});
     world.restart(restarted);
-    world.pass(kBetween);
+    world.pass(kCrashInterval);
     world.crash(3, {{3, kPoison}});
-    world.pass(kBetween);
+    world.pass(kCrashInterval);
     CHECK(world.quarantinedAt(kPoison) == 7);
   }
 }
@@ -208,7 +208,7 @@
 TEST_CASE("nodes that restart in turn while the store is unavailable receive the verdict") {
   QuarantineWorld world(7);
   for (uint64_t engine = 1; engine <= 3; ++engine) {
-    world.pass(kBetween);
+    world.pass(kCrashInterval);
     world.crash(engine, {{engine, kPoison}});
   }
   world.pass(std::chrono::milliseconds(2000));
@@ -223,7 +223,7 @@
 TEST_CASE("one node writes a verdict to the store, up to three others if it fails to") {
   QuarantineWorld world(7);
   for (uint64_t engine = 1; engine <= 3; ++engine) {
-    world.pass(kBetween);
+    world.pass(kCrashInterval);
     world.crash(engine, {{engine, kPoison}});
   }
   const auto writers = [&world] {
--- a/test/peers/state_mirror_test.cpp
+++ b/test/peers/state_mirror_test.cpp
@@ -9,10 +9,10 @@
 namespace {
 
 /// Notifications that a mirror sent to its listeners.
-struct Heard {
+struct Notifications {
   std::vector<MirrorEntry> entries;
-  int wholes = 0;
-  std::vector<Time> proofs;
+  int wholeCount = 0;
+  std::vector<Time> confirmations;
 };
 
 MirrorEntry entry(const std::string& name, uint64_t revision, const std::string& text = "t") {
@@ -23,10 +23,12 @@
   Mirrored()
       : mirror(
             [this](MirrorKind, const std::vector<MirrorEntry>& entries, bool isWhole) {
-              heard.wholes += isWhole ? 1 : 0;
-              heard.entries = entries;
+              notifications.wholeCount += isWhole ? 1 : 0;
+              notifications.entries = entries;
             },
-            [this](MirrorKind, uint64_t, Time provenAt) { heard.proofs.push_back(provenAt); }) {}
+            [this](MirrorKind, uint64_t, Time confirmedAt) {
+              notifications.confirmations.push_back(confirmedAt);
+            }) {}
 
   MirrorOutcome apply(uint64_t from, uint64_t to, const std::vector<MirrorEntry>& entries) {
     return mirror.apply(kKind, MirrorDelta{from, to, entries});
@@ -41,7 +43,7 @@
   }
 
   static constexpr MirrorKind kKind = MirrorKind::kBackends;
-  Heard heard;
+  Notifications notifications;
   StateMirror mirror;
 };
 
@@ -55,11 +57,11 @@
   Mirrored copy;
   CHECK(copy.apply(5, 6, {entry("a", 6)}) == MirrorOutcome::kGap);
   CHECK(copy.apply(0, 10, {entry("a", 3), entry("b", 9)}) == MirrorOutcome::kApplied);
-  CHECK(copy.heard.wholes == 1);
+  CHECK(copy.notifications.wholeCount == 1);
   CHECK(copy.apply(0, 9, {}) == MirrorOutcome::kKnown);
   CHECK(copy.apply(12, 13, {entry("c", 13)}) == MirrorOutcome::kGap);
   CHECK(copy.apply(8, 13, {entry("c", 13)}) == MirrorOutcome::kApplied);
-  CHECK(copy.heard.entries.size() == 1);
+  CHECK(copy.notifications.entries.size() == 1);
   CHECK(copy.mirror.revision(Mirrored::kKind) == 13);
 }
 
@@ -71,7 +73,7 @@
   first.apply(10, 14, {entry("c", 12), MirrorEntry{"a", 3, true, ""}});
   REQUIRE(first.since(10).has_value());
   CHECK(second.mirror.apply(Mirrored::kKind, *first.since(10)) == MirrorOutcome::kApplied);
-  CHECK(second.heard.entries.size() == 2);
+  CHECK(second.notifications.entries.size() == 2);
   CHECK_FALSE(first.since(14).has_value());
   CHECK(second.since(0)->entries.size() == 2);
   CHECK(second.since(0)->toRevision == 14);
@@ -90,15 +92,16 @@
   Mirrored copy;
   copy.mirror.applyList(Mirrored::kKind, 10, {entry("a", 3), entry("b", 9)});
   copy.mirror.applyList(Mirrored::kKind, 20, {entry("b", 9), entry("c", 18)});
-  CHECK(copy.heard.wholes == 1);
-  REQUIRE(copy.heard.entries.size() == 2);
-  CHECK(copy.heard.entries[0].name == "c");
-  CHECK(copy.heard.entries[1].name == "a");
-  CHECK(copy.heard.entries[1].isGone);
+  CHECK(copy.notifications.wholeCount == 1);
+  REQUIRE(copy.notifications.entries.size() == 2);
+  CHECK(copy.notifications.entries[0].name == "c");
+  CHECK(copy.notifications.entries[1].name == "a");
+  CHECK(copy.notifications.entries[1].isGone);
 }
 
 TEST_CASE(
-    "a confirmed read counts only for a copy that is complete up to it, and never gets older") {
+    "a confirmed read counts only for a copy that is complete up to it, and its time never "
+    "decreases") {
   Mirrored copy;
   copy.apply(0, 10, {entry("a", 3)});
   copy.mirror.confirm(Mirrored::kKind, 11, at(100));
@@ -108,14 +111,14 @@
   CHECK(copy.mirror.confirmedAt(Mirrored::kKind) == at(200));
 }
 
-TEST_CASE("of an object that is read whole, only the parts that differ are told and passed on") {
+TEST_CASE("only the changed parts of an object that is read whole are notified and forwarded") {
   Mirrored reader;
   reader.applyParts(0, 5, {entry("a", 5, "old"), entry("b", 5)});
   Mirrored other;
   other.mirror.apply(MirrorKind::kRows, *reader.partsSince(0));
   reader.applyParts(0, 7, {entry("a", 7, "new"), entry("b", 7)});
-  REQUIRE(reader.heard.entries.size() == 1);
-  CHECK(reader.heard.entries[0].text == "new");
+  REQUIRE(reader.notifications.entries.size() == 1);
+  CHECK(reader.notifications.entries[0].text == "new");
 
   SUBCASE("to a copy at a revision that this one has held") {
     const std::optional<MirrorDelta> delta = reader.partsSince(5);
@@ -125,7 +128,7 @@
     CHECK(other.mirror.apply(MirrorKind::kRows, *delta) == MirrorOutcome::kApplied);
     CHECK(other.partsSince(0)->entries.size() == 2);
   }
-  SUBCASE("and as a whole to a copy at any other, which then hears only what differs") {
+  SUBCASE("as a whole to a copy at another revision, which notifies only of differences") {
     Mirrored between;
     between.applyParts(0, 6, {entry("a", 6, "between"), entry("b", 6)});
     CHECK(between.mirror.apply(MirrorKind::kRows, MirrorDelta{5, 7, {}}) == MirrorOutcome::kGap);
@@ -133,8 +136,8 @@
     REQUIRE(delta);
     CHECK(delta->fromRevision == 0);
     CHECK(between.mirror.apply(MirrorKind::kRows, *delta) == MirrorOutcome::kApplied);
-    REQUIRE(between.heard.entries.size() == 1);
-    CHECK(between.heard.entries[0].text == "new");
+    REQUIRE(between.notifications.entries.size() == 1);
+    CHECK(between.notifications.entries[0].text == "new");
   }
 }
 
@@ -152,27 +155,27 @@
   Mirrored reader;
   reader.applyParts(0, 5, {entry("a", 5), entry("b", 5)});
   reader.applyParts(0, 6, {entry("b", 6)});
-  REQUIRE(reader.heard.entries.size() == 1);
-  CHECK(reader.heard.entries[0].isGone);
+  REQUIRE(reader.notifications.entries.size() == 1);
+  CHECK(reader.notifications.entries[0].isGone);
   CHECK(reader.partsSince(5)->entries.size() == 1);
 }
 
 TEST_CASE("a confirmed read counts only after the listener was notified of the revision") {
-  std::vector<uint64_t> proven;
-  StateMirror* told = nullptr;
+  std::vector<uint64_t> confirmedRevisions;
+  StateMirror* target = nullptr;
   StateMirror mirror(
       [&](MirrorKind kind, const std::vector<MirrorEntry>&, bool) {
-        told->confirm(kind, 5, at(100));  // On another thread in the program, at this moment.
+        target->confirm(kind, 5, at(100));  // In the program another thread may do so at this time.
       },
-      [&](MirrorKind, uint64_t revision, Time) { proven.push_back(revision); });
-  told = &mirror;
+      [&](MirrorKind, uint64_t revision, Time) { confirmedRevisions.push_back(revision); });
+  target = &mirror;
   mirror.apply(MirrorKind::kRows, MirrorDelta{0, 5, {entry("a", 5)}});
-  CHECK(proven.empty());
+  CHECK(confirmedRevisions.empty());
   mirror.confirm(MirrorKind::kRows, 5, at(200));
-  CHECK(proven == std::vector<uint64_t>{5});
+  CHECK(confirmedRevisions == std::vector<uint64_t>{5});
 }
 
-TEST_CASE("the contents of a store restored from an old copy are newer than all before") {
+TEST_CASE("the contents of a store restored from an old copy supersede those of the former era") {
   Mirrored copy;
   copy.mirror.applyList(Mirrored::kKind, storeRevision(1, 50),
                         {entry("a", storeRevision(1, 3)), entry("b", storeRevision(1, 40)),
@@ -182,29 +185,29 @@
   CHECK(copy.mirror.applyList(Mirrored::kKind, storeRevision(2, 30), listed) ==
         MirrorOutcome::kApplied);
   CHECK(copy.mirror.revision(Mirrored::kKind) == storeRevision(2, 30));
-  SUBCASE("what it holds unchanged is no news, what it lost is told as lost") {
-    REQUIRE(copy.heard.entries.size() == 2);
-    CHECK(copy.heard.entries[0].text == "older");
-    CHECK(copy.heard.entries[1].name == "c");
-    CHECK(copy.heard.entries[1].isGone);
-    CHECK(copy.heard.entries[1].isLost);
+  SUBCASE("unchanged entries are not notified, missing ones are reported as lost") {
+    REQUIRE(copy.notifications.entries.size() == 2);
+    CHECK(copy.notifications.entries[0].text == "older");
+    CHECK(copy.notifications.entries[1].name == "c");
+    CHECK(copy.notifications.entries[1].isGone);
+    CHECK(copy.notifications.entries[1].isLost);
   }
-  SUBCASE("a copy of the former era is told all of it") {
+  SUBCASE("a copy of the former era receives all differences") {
     const std::optional<MirrorDelta> lacks = copy.since(storeRevision(1, 50));
     REQUIRE(lacks);
     CHECK(lacks->entries.size() == 3);
     CHECK(lacks->entries[2].isLost);
   }
-  SUBCASE("late news of the former era are known") {
+  SUBCASE("late changes of the former era are ignored") {
     CHECK(copy.apply(storeRevision(1, 50), storeRevision(1, 60),
                      {entry("d", storeRevision(1, 60))}) == MirrorOutcome::kKnown);
   }
-  SUBCASE("and what goes afterwards is gone, not lost") {
+  SUBCASE("an entry removed afterwards is reported as gone, not lost") {
     MirrorEntry gone = entry("a", storeRevision(2, 31));
     gone.isGone = true;
     CHECK(copy.apply(storeRevision(2, 30), storeRevision(2, 31), {gone}) ==
           MirrorOutcome::kApplied);
-    CHECK_FALSE(copy.heard.entries[0].isLost);
+    CHECK_FALSE(copy.notifications.entries[0].isLost);
   }
 }
 
