--- a/test/weights/move_hints_test.cpp
+++ b/test/weights/move_hints_test.cpp
@@ -21,7 +21,7 @@
   return LedgerMove{engine, "m", 2, "node", at};
 }
 
-size_t newIn(const std::vector<MoveHint>& hints, uint64_t revision) {
+size_t countAtRevision(const std::vector<MoveHint>& hints, uint64_t revision) {
   size_t count = 0;
   for (const MoveHint& hint : hints) {
     count += hint.revision == revision ? 1 : 0;
@@ -31,7 +31,7 @@
 
 }  // namespace
 
-TEST_CASE("a ledger that grows is passed on by its new moves only") {
+TEST_CASE("only the new moves of a growing ledger have its revision") {
   MoveHints hints;
   std::vector<LedgerMove> moves;
   for (uint64_t write = 1; write <= 8; ++write) {
@@ -39,25 +39,25 @@
     for (int index = 0; index < 15; ++index) {
       moves.push_back(moveOf("e" + std::to_string(write) + "-" + std::to_string(index), now));
     }
-    const std::vector<MoveHint>& told = hints.take(ledgerOf(write, moves), now);
-    CHECK(told.size() == 15 * write);
-    CHECK(newIn(told, write) == 15);
+    const std::vector<MoveHint>& recent = hints.take(ledgerOf(write, moves), now);
+    CHECK(recent.size() == 15 * write);
+    CHECK(countAtRevision(recent, write) == 15);
   }
 }
 
-TEST_CASE("old moves are left out, and a second move of an engine is new") {
+TEST_CASE("old moves are omitted, and a second move of an engine is new") {
   MoveHints hints;
   const Ledger first = ledgerOf(1, {moveOf("e", kStart), moveOf("f", kStart)});
   CHECK(hints.take(first, kStart).size() == 2);
   const Time later = kStart + std::chrono::milliseconds(1500);
   const Ledger second = ledgerOf(2, {moveOf("e", kStart), moveOf("f", kStart), moveOf("e", later)});
-  const std::vector<MoveHint>& told = hints.take(second, later);
-  REQUIRE(told.size() == 1);
-  CHECK(told.front().engine == "e");
-  CHECK(told.front().revision == 2);
+  const std::vector<MoveHint>& recent = hints.take(second, later);
+  REQUIRE(recent.size() == 1);
+  CHECK(recent.front().engine == "e");
+  CHECK(recent.front().revision == 2);
 }
 
-TEST_CASE("a ledger that is older than the one known changes nothing") {
+TEST_CASE("a ledger older than the known one is ignored") {
   MoveHints hints;
   hints.take(ledgerOf(5, {moveOf("e", kStart)}), kStart);
   CHECK(hints.take(ledgerOf(4, {}), kStart).size() == 1);
--- a/test/weights/weight_plan_test.cpp
+++ b/test/weights/weight_plan_test.cpp
@@ -21,14 +21,14 @@
 
 }  // namespace
 
-TEST_CASE("the most urgent engines go first, all to the newest version") {
-  DesiredWeights wanted(WeightBounds{});
-  wanted.note("m", 2, at(0), at(0));
-  wanted.note("m", 3, at(2000), at(2000));
+TEST_CASE("engines with the earliest deadline move first, all to the newest version") {
+  DesiredWeights desired(WeightBounds{});
+  desired.note("m", 2, at(0), at(0));
+  desired.note("m", 3, at(2000), at(2000));
   BackendListing leaving = engine("d", 1);
   leaving.isDraining = true;
   const WeightPlan plan =
-      planMoves({engine("a", 2), engine("b", 1), engine("c", 3), leaving}, wanted, PlanBounds{});
+      planMoves({engine("a", 2), engine("b", 1), engine("c", 3), leaving}, desired, PlanBounds{});
   REQUIRE(plan.moves.size() == 2);
   CHECK(plan.moves[0].engine == "b");
   CHECK(plan.moves[1].engine == "a");
@@ -37,8 +37,8 @@
 }
 
 TEST_CASE("the first move starts as late as the last one's deadline allows") {
-  DesiredWeights wanted(WeightBounds{});
-  wanted.note("m", 2, at(0), at(0));
+  DesiredWeights desired(WeightBounds{});
+  desired.note("m", 2, at(0), at(0));
   PlanBounds bounds;
   bounds.maxConcurrentMoves = 2;
   bounds.moveTime = std::chrono::milliseconds(800);
@@ -48,8 +48,8 @@
   for (int index = 0; index < 4; ++index) {
     engines.push_back(engine(std::to_string(index), 1));
   }
-  CHECK(planMoves(engines, wanted, bounds).startBy == at(8000 - 2200 - 2 * 800));
-  CHECK_FALSE(planMoves({engine("a", 2)}, wanted, bounds).startBy.has_value());
+  CHECK(planMoves(engines, desired, bounds).startBy == at(8000 - 2200 - 2 * 800));
+  CHECK_FALSE(planMoves({engine("a", 2)}, desired, bounds).startBy.has_value());
 }
 
 }  // namespace fernmoor::weights
--- a/test/weights/weight_world.h
+++ b/test/weights/weight_world.h
@@ -37,14 +37,14 @@
     }
     return ledger;
   }
-  Result<LedgerOutcome> write(const Ledger& wanted) override {
+  Result<LedgerOutcome> write(const Ledger& update) override {
     if (isDown) {
       return down();
     }
-    if (wanted.revision != ledger.revision) {
+    if (update.revision != ledger.revision) {
       return LedgerOutcome(LedgerChanged{ledger});
     }
-    ledger = wanted;
+    ledger = update;
     ledger.revision = ++revision;
     ledger.writtenIn = eraOf(revision);
     if (losesAnswers) {
@@ -54,20 +54,20 @@
   }
 
   std::optional<Time> wentBackBy(const Ledger& asked) const override {
-    return asked.writtenIn == eraOf(revision) ? std::nullopt : wentBackAt;
+    return asked.writtenIn == eraOf(revision) ? std::nullopt : restoredAt;
   }
   /// Simulates a restore from an old copy that contains the given ledger.
-  void goBack(const Ledger& copy, Time at) {
+  void restoreFrom(const Ledger& copy, Time at) {
     const uint64_t era = eraOf(revision) + 1;
     ledger = copy;
     ledger.revision = storeRevision(era, countOf(copy.revision));
     revision = storeRevision(era, countOf(copy.revision) + 3);
-    wentBackAt = at;
+    restoredAt = at;
   }
 
   Ledger ledger;
   uint64_t revision = 100;
-  std::optional<Time> wentBackAt;
+  std::optional<Time> restoredAt;
   bool isDown = false;
   bool losesAnswers = false;
   size_t reads = 0;
@@ -79,7 +79,7 @@
 };
 
 /// An order that reached an engine.
-struct SeenOrder {
+struct ReceivedOrder {
   std::string engine;
   std::string holder;
   uint64_t version = 0;
@@ -112,10 +112,11 @@
     return EngineReport{engine.next != 0, engine.orders, engine.version, engine.startedAt};
   }
   OrderAnswer order(const WeightOrder& order) override {
-    const bool isHeldUp = order.holder == heldUpHolder;
-    const Time at = clock_.now() + (isHeldUp ? holdUp : Duration(0));
-    seen.push_back(SeenOrder{order.engine, order.holder, order.version, order.fence, at});
-    if (isHeldUp) {
+    const bool isDelayed = order.holder == delayedLeader;
+    const Time at = clock_.now() + (isDelayed ? orderDelay : Duration(0));
+    receivedOrders.push_back(
+        ReceivedOrder{order.engine, order.holder, order.version, order.fence, at});
+    if (isDelayed) {
       return OrderAnswer::kUnknown;
     }
     Engine& engine = settle(order.engine);
@@ -135,12 +136,12 @@
 
   std::map<std::string, Engine> engines;
   std::set<std::string> silent;
-  std::vector<SeenOrder> seen;
+  std::vector<ReceivedOrder> receivedOrders;
   Duration loadTime{630000};
   bool answersLost = false;
   std::function<void()> onReport;  ///< Called while a report is in transit.
-  std::string heldUpHolder;        ///< Its orders reach engines late and are not executed.
-  Duration holdUp{};
+  std::string delayedLeader;       ///< Its orders reach engines late and are not executed.
+  Duration orderDelay{};
 
  private:
   Engine& settle(const std::string& name) {
@@ -159,12 +160,12 @@
 struct TestNode {
   TestNode(const std::string& name, const TestClock& clock, TestStore& store, TestEngines& engines,
            uint64_t seed)
-      : wanted(WeightBounds{}),
-        mover(MoverServices{clock, backends, wanted, view, store, engines},
+      : desired(WeightBounds{}),
+        mover(MoverServices{clock, backends, desired, view, store, engines},
               MoverOptions{name, std::chrono::seconds(3), seed}) {}
 
   BackendSet backends;
-  DesiredWeights wanted;
+  DesiredWeights desired;
   LedgerView view;
   WeightMover mover;
   bool isAlive = true;
@@ -185,9 +186,9 @@
     }
   }
 
-  void name(uint64_t version) {
+  void setDesiredVersion(uint64_t version) {
     for (const auto& node : nodes) {
-      node->wanted.note("m", version, clock.now(), clock.now());
+      node->desired.note("m", version, clock.now(), clock.now());
     }
   }
   /// Advances the time; each live node sees ledger changes as through its watch.
@@ -200,7 +201,7 @@
             if (node->place.followsLedger) {
               node->view.take(store.ledger, clock.now());
             }
-            learnVersions(*node);
+            noteListedVersions(*node);
           }
           node->mover.step(node->place);
         }
@@ -209,7 +210,7 @@
     }
   }
   /// Restarts the engine under its id with its initial weights; it lists itself again.
-  void startAgain(const std::string& name, int64_t startedAt) {
+  void restartEngine(const std::string& name, int64_t startedAt) {
     engines.engines[name] = {};
     engines.engines[name].startedAt = startedAt;
     for (const auto& node : nodes) {
@@ -226,7 +227,7 @@
     }
     return count;
   }
-  TestNode* holder() {
+  TestNode* leader() {
     for (size_t index = 0; index < nodes.size(); ++index) {
       if ("n" + std::to_string(index) == store.ledger.holder) {
         return nodes[index].get();
@@ -242,7 +243,7 @@
 
  private:
   /// Engines list their weights as soon as they have loaded them.
-  void learnVersions(TestNode& node) {
+  void noteListedVersions(TestNode& node) {
     for (const auto& entry : engines.engines) {
       if (engines.silent.count(entry.first) == 0) {
         node.backends.noteWeights(entry.first, "m", engines.versionOf(entry.first));
