--- a/test/backends/backend_set_test.cpp
+++ b/test/backends/backend_set_test.cpp
@@ -30,7 +30,7 @@
 
 }  // namespace
 
-TEST_CASE("members are those listed for the pool that are not leaving") {
+TEST_CASE("members are the listed back ends of the pool that are not leaving") {
   BackendSet set;
   BackendListing leaving = listing("b");
   leaving.isDraining = true;
@@ -44,7 +44,7 @@
   CHECK(set.membersOf("pool", "m", at(0)).empty());
 }
 
-TEST_CASE("a list that lags does not take back a version that the engine told") {
+TEST_CASE("an outdated list does not lower a version that the engine reported") {
   BackendSet set;
   set.replaceAll({listing("a", 1)}, at(0));
   set.noteWeights("a", "m", 3);
@@ -56,7 +56,7 @@
   CHECK(only(set, at(10)).weightsVersion == 2);
 }
 
-TEST_CASE("of a back end that started again under its id nothing is known any more") {
+TEST_CASE("a back end that restarts under its id loses its recorded state") {
   BackendSet set;
   BackendListing first = listing("a", 5);
   first.startedAt = 1000;
@@ -74,7 +74,7 @@
     set.replaceAll({second}, at(20));
     CHECK(only(set, at(20)).weightsVersion == 3);
   }
-  SUBCASE("by its own words, while its entry lags") {
+  SUBCASE("by its own report, while its entry is outdated") {
     set.noteStart("a", 2000);
     CHECK(only(set, at(20)).weightsVersion == 0);
     set.update(first, at(30));
@@ -89,7 +89,7 @@
   CHECK_FALSE(after.isAvoided);
 }
 
-TEST_CASE("a back end that fails a good part of its requests is left alone for a while") {
+TEST_CASE("a back end that fails many of its requests is avoided for a time") {
   BackendSet set;
   set.replaceAll({listing("a")}, at(0));
   for (int request = 0; request < 20; ++request) {
@@ -108,7 +108,7 @@
   CHECK_FALSE(only(set, at(60000)).isAvoided);
 }
 
-TEST_CASE("failures long ago no longer count") {
+TEST_CASE("old failures do not count") {
   BackendSet set;
   set.replaceAll({listing("a")}, at(0));
   for (int request = 0; request < 6; ++request) {
@@ -118,7 +118,7 @@
   CHECK_FALSE(only(set, at(150001)).isAvoided);
 }
 
-TEST_CASE("pauses grow to their bound, are spread, and begin anew after a success") {
+TEST_CASE("backoff grows to its bound, is randomized, and is reset after a success") {
   Backoff pause(std::chrono::milliseconds(100), std::chrono::milliseconds(400), 1);
   for (const int64_t longest : {100, 200, 400, 400}) {
     const Duration drawn = pause.afterFailure();
@@ -129,14 +129,14 @@
   CHECK(pause.afterFailure() <= std::chrono::milliseconds(100));
 }
 
-TEST_CASE("an incarnation that said that it leaves does so whatever its entry says") {
+TEST_CASE("an incarnation that reported that it leaves stays draining whatever its entry says") {
   BackendSet set;
   set.replaceAll({listing("a"), listing("b")}, at(0));
   const uint64_t engine = incarnationHash(listing("a"));
   CHECK(set.noteLeaving(engine, at(10000)));
   CHECK_FALSE(set.noteLeaving(engine, at(10500)));
   CHECK_FALSE(set.isUsable("a"));
-  SUBCASE("an older entry, and one that comes back after it was missing") {
+  SUBCASE("with an older entry, and with one that is added again") {
     set.update(listing("a"), at(10100));
     CHECK(set.find("a")->isDraining);
     set.remove("a");
@@ -144,44 +144,44 @@
     CHECK(set.find("a")->isDraining);
     CHECK(only(set, at(12000)).listing->id == "b");
   }
-  SUBCASE("it is told so also before it is listed") {
+  SUBCASE("if the report precedes its entry") {
     set.noteLeaving(incarnationHash(listing("c")), at(10000));
     set.update(listing("c"), at(10100));
     CHECK(set.find("c")->isDraining);
   }
-  SUBCASE("another incarnation has said nothing") {
-    BackendListing born = listing("a");
-    born.startedAt = 77;
-    set.update(born, at(10100));
+  SUBCASE("but another incarnation is usable") {
+    BackendListing restarted = listing("a");
+    restarted.startedAt = 77;
+    set.update(restarted, at(10100));
     CHECK(set.isUsable("a"));
     CHECK(set.membersOf("pool", "m", at(12000)).size() == 2);
   }
-  SUBCASE("an engine whose entry does not tell its start is the same when it reports it") {
+  SUBCASE("also after the engine reports a start time that its entry lacks") {
     CHECK(set.find("a")->isDraining);
     set.noteStart("a", 77);
     CHECK(set.find("a")->isDraining);
   }
-  SUBCASE("it is kept while the engine may come back, and forgotten long after") {
+  SUBCASE("and the record is kept while the engine may return, and removed long after") {
     set.remove("a");
     set.forgetOld(at(20000));
     set.forgetOld(at(320000));
     CHECK(set.withdrawal(engine, at(320000)).has_value());
     CHECK(set.withdrawn(at(50000)).size() == 1);
-    CHECK(set.withdrawn(at(51000)).empty());  // It is no longer announced.
+    CHECK(set.withdrawn(at(51000)).empty());  // No longer announced.
     set.forgetOld(at(700000));
     CHECK_FALSE(set.withdrawal(engine, at(700000)).has_value());
   }
 }
 
-TEST_CASE("a back end that leaves may be sent requests for half of its bound, as the last resort") {
+TEST_CASE("a leaving back end accepts requests as a last resort for half of its bound") {
   BackendSet set(BackendSetBounds{std::chrono::seconds(3), Duration(0)});
   BackendListing leaving = listing("a");
   const BackendListing asIncarnation = leaving;
-  SUBCASE("since it said so in an answer") {
+  SUBCASE("from its report in an answer") {
     set.update(leaving, at(0));
     set.noteLeaving(incarnationHash(leaving), at(10000));
   }
-  SUBCASE("since its entry can have been written") {
+  SUBCASE("from the earliest time of its entry") {
     leaving.isDraining = true;
     leaving.notListedAt = at(10000);
     set.update(leaving, at(0));
@@ -192,7 +192,7 @@
   CHECK_FALSE(set.takesRequests(asIncarnation, at(11500)));
 }
 
-TEST_CASE("a rest holds to the latest end that the back end named, and is its incarnation's") {
+TEST_CASE("a rest lasts to the latest end reported, and applies to one incarnation") {
   BackendSet set(BackendSetBounds{std::chrono::seconds(2), std::chrono::milliseconds(300)});
   set.update(listing("a"), at(0));
   const uint64_t engine = incarnationHash(listing("a"));
@@ -203,20 +203,20 @@
   CHECK(set.takesRequests(listing("a"), at(5000)));
   CHECK_FALSE(only(set, at(4000)).isLeaving);
   CHECK(set.withdrawnCounts(at(4000)).resting == 1);
-  SUBCASE("what others were asked is spared a little longer, and may be used") {
+  SUBCASE("a rest asked of another node makes the back end avoided but usable") {
     CHECK(set.noteRest(engine, at(8000), RestOf::kOtherNode));
     CHECK(set.takesRequests(listing("a"), at(6000)));
     CHECK(only(set, at(8200)).isAvoided);
     CHECK_FALSE(only(set, at(8300)).isAvoided);
   }
-  SUBCASE("another incarnation rests no more") {
-    BackendListing born = listing("a");
-    born.startedAt = 77;
-    set.update(born, at(1000));
-    CHECK(set.takesRequests(born, at(1000)));
+  SUBCASE("another incarnation does not rest") {
+    BackendListing restarted = listing("a");
+    restarted.startedAt = 77;
+    set.update(restarted, at(1000));
+    CHECK(set.takesRequests(restarted, at(1000)));
     CHECK_FALSE(set.takesRequests(listing("a"), at(1000)));
   }
-  SUBCASE("it is forgotten when it is over") {
+  SUBCASE("it is removed after its end") {
     set.forgetOld(at(5299));
     CHECK(set.withdrawn(at(4000)).size() == 1);
     set.forgetOld(at(5400));
--- a/test/backends/revision_times_test.cpp
+++ b/test/backends/revision_times_test.cpp
@@ -17,7 +17,7 @@
 
 }  // namespace
 
-TEST_CASE("an object was written after each instant at which the store had not come as far") {
+TEST_CASE("an object is dated by the last time at which the store had a lower revision") {
   RevisionTimes times;
   CHECK_FALSE(times.notBefore(5).has_value());
   CHECK_FALSE(times.newest().has_value());
@@ -31,7 +31,7 @@
   CHECK(times.newest()->revision == 14);
   CHECK(times.newest()->at == at(1200));
 
-  SUBCASE("also where that is told later, by a node that knew less or more") {
+  SUBCASE("also if another node reports such a time later") {
     times.note({12, at(500)});
     CHECK(times.notBefore(13) == at(600));
     times.note({12, at(900)});
@@ -41,7 +41,7 @@
     CHECK(times.notBefore(15) == at(1300));
     CHECK(times.newest()->revision == 12);
   }
-  SUBCASE("and the oldest are forgotten") {
+  SUBCASE("and the oldest entries are dropped") {
     for (int call = 0; call < 200; ++call) {
       times.note({static_cast<uint64_t>(20 + call), at(2000 + call)});
     }
@@ -50,7 +50,7 @@
   }
 }
 
-TEST_CASE("what may have been written again after the store came back is dated by the era before") {
+TEST_CASE("objects possibly rewritten after a restore of the store are dated by the former era") {
   RevisionTimes times;
   times.note({storeRevision(1, 500), at(0)});
   times.note({storeRevision(1, 510), at(600)});
@@ -67,7 +67,7 @@
   REQUIRE(times.change());
   CHECK(times.change()->seenAt == at(2600));
 
-  SUBCASE("by a node too that began afterwards and is told of it") {
+  SUBCASE("also at a node that started later and receives the era change") {
     RevisionTimes late;
     late.note({storeRevision(2, 320), at(3200)});
     CHECK(late.notBefore(storeRevision(2, 325)) == at(3200));
@@ -76,7 +76,7 @@
     late.note({storeRevision(2, 331), at(6300)});
     CHECK(late.notBefore(storeRevision(2, 332)) == at(6300));
   }
-  SUBCASE("the latest that any node knows of the era before counts") {
+  SUBCASE("the latest known time of the former era counts") {
     times.noteChange(2, EraChange{{storeRevision(1, 512), at(900)}, at(2500)});
     CHECK(times.notBefore(storeRevision(2, 325)) == at(900));
     times.noteChange(1, EraChange{{storeRevision(0, 9), at(0)}, at(10)});
--- a/test/backends/watch_pace_test.cpp
+++ b/test/backends/watch_pace_test.cpp
@@ -12,38 +12,38 @@
 constexpr Time kStart{std::chrono::seconds(50)};
 
 /// @return the number of calls of a watch in 10 s if a change happens every `changeEvery`.
-int asksInTenSeconds(Duration changeEvery) {
-  WatchRateLimiter pace;
+int callsInTenSeconds(Duration changeEvery) {
+  WatchRateLimiter limiter;
   Time now = kStart;
-  int asks = 0;
+  int calls = 0;
   while (now < kStart + std::chrono::seconds(10)) {
     const Duration sinceStart = now - kStart;
     now += changeEvery - Duration(sinceStart.count() % changeEvery.count());
-    now += pace.afterAnswer(now);
-    ++asks;
+    now += limiter.afterAnswer(now);
+    ++calls;
   }
-  return asks;
+  return calls;
 }
 
 }  // namespace
 
-TEST_CASE("a watch asks a few times a second, however much changes") {
-  CHECK(asksInTenSeconds(std::chrono::milliseconds(12)) <= 68);
-  CHECK(asksInTenSeconds(std::chrono::milliseconds(1)) <= 68);
+TEST_CASE("a watch makes at most 68 calls in 10 s at any rate of changes") {
+  CHECK(callsInTenSeconds(std::chrono::milliseconds(12)) <= 68);
+  CHECK(callsInTenSeconds(std::chrono::milliseconds(1)) <= 68);
 }
 
-TEST_CASE("a change after a quiet time is not held up") {
-  WatchRateLimiter pace;
-  CHECK(pace.afterAnswer(kStart) == Duration(0));
-  CHECK(pace.afterAnswer(kStart + kWatchInterval) == Duration(0));
-  CHECK(pace.afterAnswer(kStart + std::chrono::seconds(5)) == Duration(0));
-  CHECK(asksInTenSeconds(std::chrono::milliseconds(650)) == 16);
+TEST_CASE("a change after an idle interval is not delayed") {
+  WatchRateLimiter limiter;
+  CHECK(limiter.afterAnswer(kStart) == Duration(0));
+  CHECK(limiter.afterAnswer(kStart + kWatchInterval) == Duration(0));
+  CHECK(limiter.afterAnswer(kStart + std::chrono::seconds(5)) == Duration(0));
+  CHECK(callsInTenSeconds(std::chrono::milliseconds(650)) == 16);
 }
 
-TEST_CASE("the second of two changes at once waits for less than the interval") {
-  WatchRateLimiter pace;
-  pace.afterAnswer(kStart);
-  const Duration pause = pace.afterAnswer(kStart + std::chrono::milliseconds(10));
+TEST_CASE("the second of two consecutive changes waits for the rest of the interval") {
+  WatchRateLimiter limiter;
+  limiter.afterAnswer(kStart);
+  const Duration pause = limiter.afterAnswer(kStart + std::chrono::milliseconds(10));
   CHECK(pause == kWatchInterval - std::chrono::milliseconds(10));
 }
 
